--- /dev/null
+++ b/http_gateway/__main__.py
@@ -0,0 +1,10 @@
+"""Starts one gateway: `python -m http_gateway`."""
+
+from __future__ import annotations
+
+import sys
+
+from http_gateway.service import main
+
+if __name__ == "__main__":
+    sys.exit(main())
--- /dev/null
+++ b/http_gateway/net/__init__.py
@@ -0,0 +1,1 @@
+"""The gateway's sockets: client connections, connections to endpoints, discovery."""
--- a/whinrouter/net/config.py
+++ b/http_gateway/net/config.py
@@ -11,10 +11,11 @@
 
 import orjson
 
-from whinrouter import wire
-from whinrouter.interface import SECOND, Settings
-from whinrouter.net.address import Address, address
-from whinrouter.net.discovery import HostList, read_list
+from http_gateway.net.address import Address, parse_address
+from http_gateway.net.discovery.endpoint_list import EndpointList, read_endpoint_list
+from http_gateway.policy.settings import Settings
+from http_gateway.policy.time_units import US_PER_S
+from http_gateway.settings_reader import read_settings
 
 MAX_FILE = 16 * 1024 * 1024  # bytes; with a list of thousands of hosts it has less than one
 _FIXED = {"name": "PROXY_NAME", "listen": "PROXY_LISTEN"}  # for the life of the process
@@ -25,30 +26,30 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Config:
+class GatewayConfig:
     name: str
-    listen: Address
-    discovery: Address
+    listen_address: Address
+    discovery_address: Address
     seed: int
-    known: HostList
+    cached_list: EndpointList
     settings: Settings
-    connect_time: float  # seconds after which a connection that is not made has failed
-    idle_time: float  # seconds after which a host closes an idle connection at the latest
-    sockets: int  # descriptors that the process may hold
+    connect_timeout_s: float  # seconds after which a connection that is not made has failed
+    idle_timeout_s: float  # seconds after which a host closes an idle connection at the latest
+    max_descriptors: int  # descriptors that the process may hold
 
 
-def load(environment: Mapping[str, str]) -> Config:
+def load_config(environment: Mapping[str, str]) -> GatewayConfig:
     """What to start with."""
     # The environment comes first: an operator may set a variable for one start.
     return _load(environment, {**_FIXED, "discovery": "PROXY_DISCOVERY"})
 
 
-def reload(environment: Mapping[str, str]) -> Config:
+def reload_config(environment: Mapping[str, str]) -> GatewayConfig:
     """What to go on with: the variables are as old as the start, so the file's word on discovery is newer."""
     return _load(environment, _FIXED)
 
 
-def _load(environment: Mapping[str, str], overrides: Mapping[str, str]) -> Config:
+def _load(environment: Mapping[str, str], overrides: Mapping[str, str]) -> GatewayConfig:
     path = environment.get("PROXY_CONFIG")
     if not path:
         raise ConfigError("PROXY_CONFIG names no file")
@@ -81,18 +82,18 @@
     return told if allowed == resource.RLIM_INFINITY else min(told, allowed)
 
 
-def _config(told: Mapping[str, Any]) -> Config:
+def _config(told: Mapping[str, Any]) -> GatewayConfig:
     setup = told["settings"]
-    settings = wire.settings(setup)
+    settings = read_settings(setup)
     limits, allowed = told.get("limits") or {}, setup.get("permissions") or {}
-    return Config(
+    return GatewayConfig(
         name=str(told.get("name") or ""),
-        listen=address(str(told["listen"]), least_port=0),
-        discovery=address(str(told["discovery"])),
+        listen_address=parse_address(str(told["listen"]), min_port=0),
+        discovery_address=parse_address(str(told["discovery"])),
         seed=int.from_bytes(blake2b(str(told.get("seed")).encode(), digest_size=8).digest(), "big"),
-        known=read_list(told.get("known") or {"members": []}),
+        cached_list=read_endpoint_list(told.get("known") or {"members": []}),
         settings=settings,
-        connect_time=settings.connect_time / SECOND,
-        idle_time=int(allowed.get("connIdle") or 15 * SECOND) / SECOND,
-        sockets=_descriptors(int(limits.get("sockets") or 1024)),
+        connect_timeout_s=settings.connect_timeout_us / US_PER_S,
+        idle_timeout_s=int(allowed.get("connIdle") or 15 * US_PER_S) / US_PER_S,
+        max_descriptors=_descriptors(int(limits.get("sockets") or 1024)),
     )
--- /dev/null
+++ b/http_gateway/net/discovery/__init__.py
@@ -0,0 +1,1 @@
+"""Discovery: the endpoint list, and the watch that keeps it fresh."""
--- a/whinrouter/net/discovery.py
+++ b/http_gateway/net/discovery/client.py
@@ -5,18 +5,18 @@
 import asyncio
 import logging
 import time
-from collections.abc import Callable, Mapping
+from collections.abc import Callable
 from dataclasses import dataclass
-from hashlib import blake2b
 from random import Random
-from typing import Any
 
 import httptools
 import orjson
 
-from whinrouter.interface import MS, SECOND, Server, ServerId, Settings, State
-from whinrouter.net.address import Address, address
-from whinrouter.net.jsonstream import JsonStream
+from http_gateway.net.address import Address
+from http_gateway.net.discovery.endpoint_list import EndpointList, read_endpoint_list
+from http_gateway.net.discovery.json_stream import JsonStream
+from http_gateway.policy.settings import Settings
+from http_gateway.policy.time_units import US_PER_S
 
 log = logging.getLogger(__name__)
 
@@ -40,49 +40,6 @@
 AT_ONCE = 0.5  # seconds; a refusal that comes so soon tells of too many calls, and not of an outage
 MOST_ROUNDS = 16  # of which one is called in, at random, while calls are refused like that
 
-_STATES = {"Ready": State.READY, "Terminating": State.DRAINING, "Gone": State.GONE}
-
-
-@dataclass(frozen=True, slots=True)
-class Member:
-    """One host: as the module knows it, and where it listens."""
-
-    server: Server
-    address: Address
-
-
-@dataclass(frozen=True, slots=True)
-class HostList:
-    revision: int
-    complete: bool
-    members: tuple[Member, ...]
-
-
-def number(host: str) -> ServerId:
-    """The module's number for a host: a hash, so that it is the same at every gateway and after a restart."""
-    return int.from_bytes(blake2b(host.encode(), digest_size=8).digest(), "big")
-
-
-def read_list(told: Mapping[str, Any]) -> HostList:
-    """Read a list in discovery's form; ValueError, TypeError or KeyError if it is none."""
-    if not isinstance(told, dict):
-        raise ValueError("a list of hosts is no object")
-    members = tuple(_member(entry) for entry in told["members"])
-    return HostList(int(told.get("revision") or 0), bool(told.get("complete")), members)
-
-
-def _member(entry: Mapping[str, Any]) -> Member:
-    server = Server(
-        id=number(str(entry["id"])),
-        state=_STATES.get(str(entry.get("phase")), State.DRAINING),
-        zone=str(entry.get("locality") or ""),
-        flavor=str(entry.get("flavor") or ""),
-        cell=None if entry.get("cell") is None else int(entry["cell"]),
-        weight=float(entry.get("size") or 1.0),
-        started=int(entry.get("up_since_ms") or 0) * MS,
-    )
-    return Member(server, address(str(entry["host_port"])))
-
 
 @dataclass(slots=True, eq=False)
 class _Source:
@@ -98,7 +55,7 @@
 class _Watching(asyncio.Protocol):
     """One call to discovery: hands on each list as it comes, and knows when it has gone silent."""
 
-    def __init__(self, source: _Source, owner: Discovery) -> None:
+    def __init__(self, source: _Source, owner: DiscoveryClient) -> None:
         host, port = source.address
         self._request = (
             f"GET /discovery/hosts?watch=1&from={source.revision} HTTP/1.1\r\n"
@@ -129,7 +86,9 @@
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
             cause = error.__context__ or error
             self.end(f"{type(cause).__name__}: {cause}")
-        if not self._texts.began and not self.over.done():  # a list that has begun has to end within its time
+        if (
+            not self._texts.has_partial_document and not self.over.done()
+        ):  # a list that has begun has to end within its time
             self._wait(SILENCE)
 
     def on_headers_complete(self) -> None:
@@ -169,25 +128,27 @@
         self._silence = self._loop.call_later(seconds, self.end, "the watch is silent")
 
 
-class Discovery:
+class DiscoveryClient:
     """Keeps a watch going, from the last version that came; the old list stays in force meanwhile."""
 
     def __init__(
         self,
         address: Address,
         revision: int,
-        take: Callable[[HostList], None],
+        take: Callable[[EndpointList], None],
         settings: Settings | None = None,
     ) -> None:
-        self._asked = settings is not None and settings.must_subscribe
+        self._asked = settings is not None and settings.discovery_is_polled
         self._source = _Source(address, revision, shared=self._asked)
         self._take = take
-        grace = settings.drain_grace / SECOND if settings is not None else 0.0
+        grace = settings.drain_grace_us / US_PER_S if settings is not None else 0.0
         self._again = min(MOST_AGAIN, max(LEAST_AGAIN, AGAIN_PART * grace))
-        self._turn = ROUND * settings.rank / settings.balancers if settings is not None else 0.0
+        self._turn = ROUND * settings.gateway_index / settings.gateway_count if settings is not None else 0.0
         self._random = Random()
         self._task: asyncio.Task[None] | None = None
-        self.heard = asyncio.Event()  # a list has come since the start, or word that none will at once
+        self.first_list_received = (
+            asyncio.Event()
+        )  # a list has come since the start, or word that none will at once
 
     def start(self) -> None:
         self._task = asyncio.get_running_loop().create_task(self._run(self._source))
@@ -196,7 +157,7 @@
         if self._task is not None:
             self._task.cancel()
 
-    def move(self, address: Address) -> None:
+    def move_to(self, address: Address) -> None:
         """Watch another service, from its whole list on."""
         self.stop()
         self._source = _Source(address, 0, shared=self._asked)
@@ -279,11 +240,11 @@
         if waited < AT_ONCE:
             source.rounds = min(2 * source.rounds, MOST_ROUNDS)
         if source is self._source:
-            self.heard.set()
+            self.first_list_received.set()
 
     def hear(self, text: bytes) -> None:
         # Raises on a bad text, which ends the watch: what it held would be missing from the list for good.
-        told = read_list(orjson.loads(text))
+        told = read_endpoint_list(orjson.loads(text))
         self._take(told)
         self._source.revision, self._source.shared, self._source.rounds = told.revision, self._asked, 1
-        self.heard.set()
+        self.first_list_received.set()
--- /dev/null
+++ b/http_gateway/net/frontend/__init__.py
@@ -0,0 +1,1 @@
+"""Client connections: requests in, one response each."""
--- a/whinrouter/net/frontend.py
+++ b/http_gateway/net/frontend/listener.py
@@ -12,9 +12,14 @@
 from collections.abc import Mapping
 from http import HTTPStatus
 
-from whinrouter.interface import SECOND, Effect, RequestClass, RequestId, Settings
-from whinrouter.net.gateway import Answer, Asked, Gateway
-from whinrouter.net.http import BadMessageError, Message, Reading, RequestReader, write_answer
+from http_gateway.net.http.messages import MalformedMessageError, Message
+from http_gateway.net.http.reader import RequestReader
+from http_gateway.net.http.shared_buffer import SharedBufferProtocol
+from http_gateway.net.http.writer import write_response
+from http_gateway.net.request_dispatcher import ClientRequest, RequestDispatcher, Response
+from http_gateway.policy.events import RequestId
+from http_gateway.policy.settings import Idempotency, RequestClass, Settings
+from http_gateway.policy.time_units import US_PER_S
 
 log = logging.getLogger(__name__)
 
@@ -49,13 +54,13 @@
 class Frontend:
     """The listener and its connections."""
 
-    def __init__(self, gateway: Gateway, settings: Settings, limit: int) -> None:
-        self.gateway = gateway
+    def __init__(self, dispatcher: RequestDispatcher, settings: Settings, max_connections: int) -> None:
+        self.dispatcher = dispatcher
         self._classes = {kind.name: kind for kind in settings.classes}
-        self.limit = limit  # connections at most
-        self.connections: set[_Client] = set()
+        self.max_connections = max_connections  # connections at most
+        self.connections: set[ClientConnection] = set()
         # Those with no request in work, in the order in which they make room for others.
-        self.waiting: OrderedDict[_Client, None] = OrderedDict()
+        self.waiting: OrderedDict[ClientConnection, None] = OrderedDict()
         self.open_ids: set[str] = set()  # of the requests in work
         self.buffered = 0  # bytes of requests that are not in work yet
         self.ends = math.inf  # loop time by which all has its answer; finite once the program is to end
@@ -79,7 +84,7 @@
         """Take connections; return the port."""
         self._listener = listener
         self._server = await self._loop.create_server(
-            lambda: _Client(self), sock=listener, backlog=ACCEPTED_AT_ONCE
+            lambda: ClientConnection(self), sock=listener, backlog=ACCEPTED_AT_ONCE
         )
         listener.listen(
             BACKLOG
@@ -88,21 +93,25 @@
         return int(listener.getsockname()[1])
 
     @property
-    def stopping(self) -> bool:
+    def is_stopping(self) -> bool:
         return self.ends < math.inf
 
     @property
-    def ready(self) -> bool:
-        return self.gateway.has_list and not self.stopping
+    def is_ready(self) -> bool:
+        return self.dispatcher.has_endpoint_list and not self.is_stopping
 
-    def close(self) -> None:
+    def begin_shutdown(self, deadline: float) -> None:
+        """Answer what has come and what comes until the listener closes, by this loop time."""
+        self.ends = deadline
+
+    def stop_accepting(self) -> None:
         """Take no new connection, and close those that are between requests."""
         if self._server is not None:
             self._server.close()
         for client in list(self.connections):
             client.close_if_idle()
 
-    async def empty_backlog(self) -> None:
+    async def accept_backlog(self) -> None:
         """Take what the system has accepted for us: it would reset that with the listener.
 
         No turn of the loop may lie between the last look and the close, as it could accept one more.
@@ -116,20 +125,20 @@
             while True:
                 accepted, _ = self._listener.accept()
                 accepted.setblocking(False)
-                await self._loop.connect_accepted_socket(lambda: _Client(self), accepted)
+                await self._loop.connect_accepted_socket(lambda: ClientConnection(self), accepted)
 
-    def admit(self, client: _Client) -> bool:
+    def admit(self, client: ClientConnection) -> bool:
         """Hold no more than the limit: descriptors would run out, and connections to hosts would fail.
 
         Whoever has waited longest without a request in work makes room: a client just opens another. Those
         that are idle do so well before the limit.
         """
-        if len(self.connections) >= self.limit:
+        if len(self.connections) >= self.max_connections:
             if not self.waiting:
                 return False
             # One with bytes that we have not read goes last: they may be a request.
             next((other for other in self.waiting if not other.has_unread), next(iter(self.waiting))).drop()
-        elif len(self.connections) >= IDLE_PART * self.limit:
+        elif len(self.connections) >= IDLE_PART * self.max_connections:
             idle = (other for other in self.waiting if other.idle and not other.owed)
             longest = next((other for other in idle if not other.has_unread), None)
             if longest is not None:
@@ -143,29 +152,29 @@
             client.run_out()
         self._loop.call_later(SWEEP_EVERY, self._sweep)
 
-    def asked(self, message: Message) -> Asked:
-        """What a request asks for; BadMessageError if it asks for nothing that there is."""
+    def parse_request(self, message: Message) -> ClientRequest:
+        """What a request asks for; MalformedMessageError if it asks for nothing that there is."""
         told = _told_once(message)
         if not 0 < len(told.get(b"x-request-id", b"")) <= MAX_ID:
-            raise BadMessageError(HTTPStatus.BAD_REQUEST, "the request has no id of use")
+            raise MalformedMessageError(HTTPStatus.BAD_REQUEST, "the request has no id of use")
         kind = self._class_of(message, told)
         hint = told.get(b"x-cost-hint", b"")
-        return Asked(
+        return ClientRequest(
             message,
             kind.name,
             self._timeout(told.get(b"x-deadline"), kind),
             # A hint of more work than its class has time for would outweigh all other requests.
-            min(int(hint), kind.deadline) if hint.isdigit() and len(hint) <= 12 else 0,
+            min(int(hint), kind.timeout_us) if hint.isdigit() and len(hint) <= 12 else 0,
             _text(told.get(b"x-key")),
-            message.get(b"x-retry") == "1",
+            message.header(b"x-retry") == "1",
             _text(told.get(b"x-tenant")) or "",
         )
 
     def _timeout(self, text: bytes | None, kind: RequestClass) -> int:
         """How long the client waits; at most its class's limit, and no longer than we do."""
-        limit = kind.deadline
-        if self.stopping:
-            limit = min(limit, max(1, round((self.ends - self._loop.time()) * SECOND)))
+        limit = kind.timeout_us
+        if self.is_stopping:
+            limit = min(limit, max(1, round((self.ends - self._loop.time()) * US_PER_S)))
         if text is None:
             return limit
         try:
@@ -173,17 +182,17 @@
         except ValueError:
             seconds = math.nan
         if not math.isfinite(seconds) or seconds <= 0:
-            raise BadMessageError(HTTPStatus.BAD_REQUEST, "the deadline is no time")
-        return min(round(seconds * SECOND), limit)
+            raise MalformedMessageError(HTTPStatus.BAD_REQUEST, "the deadline is no time")
+        return min(round(seconds * US_PER_S), limit)
 
     def _class_of(self, message: Message, told: Mapping[bytes, bytes]) -> RequestClass:
         path = message.target.split(b"?", 1)[0]
         name = path.strip(b"/").split(b"/", 1)[0]
         kind = self._classes.get(_text(name) or "")
         if kind is None or told.get(b"x-class", name) != name:
-            raise BadMessageError(HTTPStatus.BAD_REQUEST, "the class is not known")
-        if message.method != (b"GET" if kind.effect is Effect.IDEMPOTENT else b"POST"):
-            raise BadMessageError(HTTPStatus.METHOD_NOT_ALLOWED, "the class goes with another method")
+            raise MalformedMessageError(HTTPStatus.BAD_REQUEST, "the class is not known")
+        if message.method != (b"GET" if kind.idempotency is Idempotency.IDEMPOTENT else b"POST"):
+            raise MalformedMessageError(HTTPStatus.METHOD_NOT_ALLOWED, "the class goes with another method")
         return kind
 
 
@@ -199,7 +208,7 @@
     for name, value in message.headers:
         if name in _TOLD_ONCE:
             if name in told:
-                raise BadMessageError(HTTPStatus.BAD_REQUEST, "a header is told twice")
+                raise MalformedMessageError(HTTPStatus.BAD_REQUEST, "a header is told twice")
             told[name] = value.strip()
     return told
 
@@ -208,12 +217,12 @@
     return None if value is None else value.decode("latin-1")
 
 
-class _Client(Reading):
+class ClientConnection(SharedBufferProtocol):
     """One client's connection; its requests are handled one after the other."""
 
     def __init__(self, front: Frontend) -> None:
         self._requests = RequestReader()
-        super().__init__(self._requests)
+        super().__init__()
         self._front = front
         self._loop = asyncio.get_running_loop()
         self._transport: asyncio.Transport | None = None
@@ -241,7 +250,7 @@
     @property
     def idle(self) -> bool:
         """Whether it is between requests: none is owed an answer, and none has begun to come."""
-        return not (self._busy or self._queued or self._deaf or self._requests.began)
+        return not (self._busy or self._queued or self._deaf or self._requests.has_partial_message)
 
     @property
     def has_unread(self) -> bool:
@@ -269,7 +278,7 @@
         self._front.waiting[self] = None
         self._front.waiting.move_to_end(self)
 
-    def received(self, data: memoryview) -> None:
+    def on_data(self, data: memoryview) -> None:
         if self._deaf:
             return
         self._queued.extend(self._requests.feed(data))
@@ -283,24 +292,24 @@
             self._note_begun()
 
     def _count(self) -> None:
-        held = sum(len(message.body) for message in self._queued) + self._requests.size
+        held = sum(len(message.body) for message in self._queued) + self._requests.buffered_bytes
         self._front.buffered += held - self._counted
         self._counted = held
 
     def _note_begun(self) -> None:
-        if self._busy or not self._requests.began:
+        if self._busy or not self._requests.has_partial_message:
             return
-        if self._requests.count > self._begun:
-            self._begun = self._requests.count
+        if self._requests.message_count > self._begun:
+            self._begun = self._requests.message_count
             self._wait(RECEIVE_TIME)
-        if self._requests.waits_for_leave and self._transport is not None:
-            self._requests.waits_for_leave = False
+        if self._requests.expects_continue and self._transport is not None:
+            self._requests.expects_continue = False
             self._transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def _stop_reading(self) -> None:
         self._deaf = True
         self._queued.clear()
-        self._requests.forget()
+        self._requests.discard()
         self._count()
 
     def _reject(self, status: HTTPStatus) -> None:
@@ -311,7 +320,7 @@
         self._end_request()
         self._stop_reading()
         self._close = True
-        self._write(Answer(status))
+        self._write(Response(status))
         # To close with bytes unread would reset the connection, and could take this answer with it.
         if self._transport is not None and not self._transport.is_closing():
             self._transport.write_eof()
@@ -334,24 +343,24 @@
             self._close = self._close or not message.keep_alive
             try:
                 self._begin(message)
-            except BadMessageError as error:
+            except MalformedMessageError as error:
                 self._reject(error.status)
             except Exception:
                 log.exception("failed on a request")
-                self._reply(Answer(HTTPStatus.INTERNAL_SERVER_ERROR))
+                self._reply(Response(HTTPStatus.INTERNAL_SERVER_ERROR))
 
     def _begin(self, message: Message) -> None:
         if message.target == b"/up" and message.method == b"GET":
-            self._reply(Answer(HTTPStatus.OK if self._front.ready else HTTPStatus.SERVICE_UNAVAILABLE))
+            self._reply(Response(HTTPStatus.OK if self._front.is_ready else HTTPStatus.SERVICE_UNAVAILABLE))
             return
-        asked = self._front.asked(message)
-        name = message.get(b"x-request-id") or ""
+        asked = self._front.parse_request(message)
+        name = message.header(b"x-request-id") or ""
         if name in self._front.open_ids:
             # Hosts tell requests apart by their ids: a second one could have the first's effect again.
-            raise BadMessageError(HTTPStatus.BAD_REQUEST, "the id is in use")
+            raise MalformedMessageError(HTTPStatus.BAD_REQUEST, "the id is in use")
         self._id = name
         self._front.open_ids.add(name)
-        request = self._front.gateway.take(asked, self._reply, lambda: self.has_left)
+        request = self._front.dispatcher.submit(asked, self._reply, lambda: self.has_left)
         if self._busy:  # it may have its answer already
             self._request = request
 
@@ -363,12 +372,12 @@
         self._unread = False
         self._next()
 
-    def _reply(self, answer: Answer) -> None:
+    def _reply(self, answer: Response) -> None:
         if not self._busy:
             return
         self._busy, self._request = False, None
         self._free_id()
-        self._close = self._close or (self._front.stopping and not self._goes_on())
+        self._close = self._close or (self._front.is_stopping and not self._goes_on())
         self._close = self._close and not self._crowded
         self._write(answer)
         if self._crowded:
@@ -377,22 +386,22 @@
         if self._close and self._transport is not None:
             self._stop_reading()
             self._transport.close()
-        self._wait(RECEIVE_TIME if self._requests.began else IDLE_TIME)
-        self._begun = self._requests.count
+        self._wait(RECEIVE_TIME if self._requests.has_partial_message else IDLE_TIME)
+        self._begun = self._requests.message_count
         if self._queued:
             self._loop.call_soon(self._next)
 
     def _goes_on(self) -> bool:
         """Whether another request has come behind this one, whole or in part: to close would lose it."""
-        return bool(self._queued) or self._requests.began or self.has_unread
+        return bool(self._queued) or self._requests.has_partial_message or self.has_unread
 
-    def _write(self, answer: Answer) -> None:
+    def _write(self, answer: Response) -> None:
         if self._transport is not None and not self._transport.is_closing():
-            self._transport.write(write_answer(answer.status, answer.headers, answer.body, self._close))
+            self._transport.write(write_response(answer.status, answer.headers, answer.body, self._close))
 
     def run_out(self) -> None:
         """It has waited long enough: for a request, the rest of one, or its last answer to be read."""
-        if self._requests.began and not self._deaf:
+        if self._requests.has_partial_message and not self._deaf:
             self._reject(HTTPStatus.REQUEST_TIMEOUT)
         elif self._deaf or self.owed or not self.has_unread:  # else it is read in this turn of the loop
             self.drop()
@@ -432,7 +441,7 @@
         self._busy = False
         self._free_id()
         if request is not None:
-            self._front.gateway.leave(request)
+            self._front.dispatcher.abandon(request)
 
     def _free_id(self) -> None:
         self._front.open_ids.discard(self._id)
--- /dev/null
+++ b/http_gateway/net/http/writer.py
@@ -0,0 +1,59 @@
+"""Writes HTTP/1.1 messages, without the headers that concern one connection only."""
+
+from __future__ import annotations
+
+from http import HTTPStatus
+
+from http_gateway.net.http.messages import Headers, Message
+
+# Headers of one connection and not of the message (RFC 9110, 7.6.1), and those that are written anew.
+_NOT_FORWARDED = frozenset(
+    (
+        b"connection",
+        b"keep-alive",
+        b"proxy-connection",
+        b"te",
+        b"trailer",
+        b"transfer-encoding",
+        b"upgrade",
+        b"expect",
+        b"content-length",
+        b"x-deadline",
+    )
+)
+# A client could otherwise remove them by naming them in `Connection`.
+_ALWAYS_FORWARDED = frozenset((b"x-request-id", b"idempotency-key"))
+
+
+def write_request(message: Message, extra_headers: Headers) -> bytes:
+    """A client's request as it is forwarded to an endpoint."""
+    headers = _forwarded_headers(message.headers) + extra_headers
+    if message.body or message.method != b"GET":
+        headers.append((b"content-length", b"%d" % len(message.body)))
+    return _write(b"%s %s HTTP/1.1" % (message.method, message.target), headers, message.body)
+
+
+def write_response(status: int, headers: Headers, body: bytes, close: bool) -> bytes:
+    """A response to a client; `close` announces the end of its connection."""
+    framing = [(b"content-length", b"%d" % len(body))]
+    if close:
+        framing.append((b"connection", b"close"))
+    try:
+        phrase = HTTPStatus(status).phrase.encode()
+    except ValueError:
+        phrase = b"Unknown"
+    return _write(b"HTTP/1.1 %d %s" % (status, phrase), [*_forwarded_headers(headers), *framing], body)
+
+
+def _forwarded_headers(headers: Headers) -> Headers:
+    forwarded = [header for header in headers if header[0] not in _NOT_FORWARDED]
+    for name, value in headers:
+        if name == b"connection":
+            named = {other.strip().lower() for other in value.split(b",")} - _ALWAYS_FORWARDED
+            forwarded = [header for header in forwarded if header[0] not in named]
+    return forwarded
+
+
+def _write(start_line: bytes, headers: Headers, body: bytes) -> bytes:
+    lines = [start_line, *(name + b": " + value for name, value in headers)]
+    return b"\r\n".join(lines) + b"\r\n\r\n" + body
--- /dev/null
+++ b/http_gateway/net/upstream/__init__.py
@@ -0,0 +1,1 @@
+"""Connections to endpoints, and the attempts made on them."""
--- a/whinrouter/net/upstream.py
+++ b/http_gateway/net/upstream/pool.py
@@ -11,9 +11,13 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 
-from whinrouter.interface import Outcome, ServerId, State
-from whinrouter.net.discovery import Member
-from whinrouter.net.http import Message, Reading, ResponseReader, write_request
+from http_gateway.net.discovery.endpoint_list import EndpointEntry
+from http_gateway.net.http.messages import Message
+from http_gateway.net.http.reader import ResponseReader
+from http_gateway.net.http.shared_buffer import SharedBufferProtocol
+from http_gateway.net.http.writer import write_request
+from http_gateway.policy.endpoint import EndpointId, EndpointState
+from http_gateway.policy.events import Outcome
 
 log = logging.getLogger(__name__)
 
@@ -23,22 +27,27 @@
 # late, and an answer doesn't say which request it is for: it would be taken for the next one's.
 SETTLE_TIME = 0.01
 
-Ended = Callable[["Attempt", Outcome, Message | None], None]
+Ended = Callable[["UpstreamAttempt", Outcome, Message | None], None]
 
 
 @dataclass(slots=True, eq=False)
-class _Host:
-    member: Member
+class _EndpointConnections:
+    member: EndpointEntry
     ready: bool = True
-    idle: list[_Connection] = field(default_factory=list)  # the latest used last
-    connecting: set[Attempt] = field(default_factory=set)
+    idle: list[UpstreamConnection] = field(default_factory=list)  # the latest used last
+    connecting: set[UpstreamAttempt] = field(default_factory=set)
 
 
-class Attempt:
+class UpstreamAttempt:
     """One sending of a request to a host; it ends exactly once."""
 
     def __init__(
-        self, host: _Host, request: Message, expires: float, ended: Ended, wanted: Callable[[], bool]
+        self,
+        host: _EndpointConnections,
+        request: Message,
+        expires: float,
+        ended: Ended,
+        wanted: Callable[[], bool],
     ) -> None:
         self._loop = asyncio.get_running_loop()
         self.host = host
@@ -46,18 +55,18 @@
         self.wanted = wanted  # whether its client still waits, as far as its connection tells by now
         self._request = request
         self._ended: Ended | None = ended
-        self.connection: _Connection | None = None
+        self.connection: UpstreamConnection | None = None
         self.task: asyncio.Task[None] | None = None
         self._leaves_by = math.inf  # loop time
         self._too_late: asyncio.TimerHandle | None = None
         self.safe = request.method == b"GET"  # a second time does no harm
 
     @property
-    def over(self) -> bool:
+    def is_over(self) -> bool:
         return self._ended is None
 
     @property
-    def written(self) -> bool:
+    def is_written(self) -> bool:
         """Whether the host may have the last byte."""
         return self.connection is not None and self.connection.written
 
@@ -69,9 +78,9 @@
     def in_time(self) -> bool:
         return self._loop.time() < self._leaves_by
 
-    def leave_by(self, moment: float) -> None:
+    def limit_last_byte(self, moment: float) -> None:
         """Its last byte has to leave before that, or it is given up, whatever takes so long."""
-        if moment >= self._leaves_by or self.over:
+        if moment >= self._leaves_by or self.is_over:
             return
         if self._too_late is not None:
             self._too_late.cancel()
@@ -79,7 +88,7 @@
         self._too_late = self._loop.call_at(moment, self._give_up_unwritten)
 
     def _give_up_unwritten(self) -> None:
-        if not self.written:
+        if not self.is_written:
             self.stop(Outcome.NOT_SENT)
 
     def end(self, outcome: Outcome, answer: Message | None = None) -> None:
@@ -91,7 +100,7 @@
 
     def stop(self, outcome: Outcome) -> None:
         """Give it up: it has this outcome, and the host sees its connection close."""
-        if self.over:
+        if self.is_over:
             return
         self.host.connecting.discard(self)
         connection, self.connection = self.connection, None
@@ -102,17 +111,17 @@
         self.end(outcome)
 
 
-class _Connection(Reading):
+class UpstreamConnection(SharedBufferProtocol):
     """One connection to a host; carries one attempt at a time."""
 
-    def __init__(self, pool: Upstream, host: _Host) -> None:
+    def __init__(self, pool: UpstreamPool, host: _EndpointConnections) -> None:
         self._answers = ResponseReader()
-        super().__init__(self._answers)
+        super().__init__()
         self._pool = pool
         self._host = host
         self._loop = asyncio.get_running_loop()
         self._transport: asyncio.Transport | None = None
-        self._attempt: Attempt | None = None
+        self._attempt: UpstreamAttempt | None = None
         self._expiry: asyncio.TimerHandle | None = None
         self.idle_since = 0.0
         self.written = False
@@ -137,9 +146,9 @@
         # It then tells whether any byte still waits: resume_writing means that the last one left.
         transport.set_write_buffer_limits(high=0)
         self._transport = transport
-        self._pool.connections += 1
+        self._pool.connection_count += 1
 
-    def carry(self, attempt: Attempt) -> None:
+    def carry(self, attempt: UpstreamAttempt) -> None:
         assert self._transport is not None
         if not attempt.wanted():
             self._rest()
@@ -160,7 +169,7 @@
         if not self._blocked:
             self._finish(attempt)
 
-    def _finish(self, attempt: Attempt) -> None:
+    def _finish(self, attempt: UpstreamAttempt) -> None:
         """All else has left: so does what was held back, if that is still in time and wanted."""
         assert self._transport is not None
         if self._transport.is_closing():  # the write failed: something of the request is still here
@@ -182,7 +191,7 @@
         if self._attempt is not None:
             self._finish(self._attempt)
 
-    def received(self, data: memoryview) -> None:
+    def on_data(self, data: memoryview) -> None:
         if self._attempt is None:  # bytes that nobody asked for would be taken for the next answer
             self.drop()
             return
@@ -190,7 +199,9 @@
         if answers:
             # A whole answer is good whatever comes behind it; the connection is not, as what follows,
             # even the start of another answer, would be taken for the next one.
-            alone = len(answers) == 1 and not self._answers.began and self._answers.error is None
+            alone = (
+                len(answers) == 1 and not self._answers.has_partial_message and self._answers.error is None
+            )
             self._answered(answers[0], self.written and alone)
         elif self._answers.error is not None:
             log.warning("a host's answer is of no use: %s", self._answers.error)
@@ -219,7 +230,7 @@
         self._break()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._pool.connections -= 1
+        self._pool.connection_count -= 1
         self._break()
         self._answers.close()
 
@@ -250,46 +261,50 @@
     if answer.status == 200:
         return Outcome.OK
     # Only the host's own word proves that it did nothing: a 503 may as well come after the work.
-    if answer.status in (503, 504) and answer.get(b"x-not-run") == "1":
+    if answer.status in (503, 504) and answer.header(b"x-not-run") == "1":
         return Outcome.REJECTED
     return Outcome.ERROR
 
 
-class Upstream:
+class UpstreamPool:
     """The hosts, and the connections to them."""
 
-    def __init__(self, connect_time: float, idle_time: float, limit: int) -> None:
-        self._connect_time = connect_time
-        self.idle_time = max(idle_time / 2, idle_time - IDLE_MARGIN)
-        self._limit = limit  # connections at most
+    def __init__(self, connect_timeout_s: float, idle_timeout_s: float, max_connections: int) -> None:
+        self._connect_time = connect_timeout_s
+        self.idle_time = max(idle_timeout_s / 2, idle_timeout_s - IDLE_MARGIN)
+        self._limit = max_connections  # connections at most
         self._connecting = 0
-        self.connections = 0
-        self._hosts: dict[ServerId, _Host] = {}
+        self.connection_count = 0
+        self._hosts: dict[EndpointId, _EndpointConnections] = {}
 
     @property
-    def open(self) -> int:
+    def open_descriptors(self) -> int:
         """The descriptors in use, at most."""
-        return self._connecting + self.connections
+        return self._connecting + self.connection_count
+
+    def idle_connections(self, endpoint_id: EndpointId) -> list[UpstreamConnection]:
+        """The idle connections to an endpoint, the latest used last."""
+        return list(self._hosts[endpoint_id].idle)
 
-    def update(self, members: Iterable[Member], complete: bool) -> None:
+    def update_endpoints(self, entries: Iterable[EndpointEntry], is_complete: bool) -> None:
         """Follow the list; a host that drains or left gets nothing more, from this moment on."""
-        named = {member.server.id: member for member in members}
-        if complete:
+        named = {member.endpoint.id: member for member in entries}
+        if is_complete:
             for server in [server for server in self._hosts if server not in named]:
                 self._leave(server)
         for server, member in named.items():
             known = self._hosts.get(server)
             # After a restart the old connections lead nowhere, even if no reset ever came over them.
             if known is not None and (
-                member.server.state is not State.READY
-                or (known.member.address, known.member.server.started)
-                != (member.address, member.server.started)
+                member.endpoint.state is not EndpointState.READY
+                or (known.member.address, known.member.endpoint.started_at_us)
+                != (member.address, member.endpoint.started_at_us)
             ):
                 self._leave(server)
-            if member.server.state is State.READY and server not in self._hosts:
-                self._hosts[server] = _Host(member)
+            if member.endpoint.state is EndpointState.READY and server not in self._hosts:
+                self._hosts[server] = _EndpointConnections(member)
 
-    def _leave(self, server: ServerId) -> None:
+    def _leave(self, server: EndpointId) -> None:
         host = self._hosts.pop(server)
         host.ready = False
         for connection in list(host.idle):
@@ -297,25 +312,25 @@
         for attempt in list(host.connecting):
             attempt.stop(Outcome.NOT_SENT)
 
-    def send(
+    def start_attempt(
         self,
-        server: ServerId,
+        server: EndpointId,
         request: Message,
         expires: float,
         ended: Ended,
         wanted: Callable[[], bool] = lambda: True,
-        leave_by: float = math.inf,
-    ) -> Attempt | None:
+        last_byte_before_s: float = math.inf,
+    ) -> UpstreamAttempt | None:
         """Start an attempt; None if the host may not be sent to. It may end before this returns."""
         host = self._hosts.get(server)
         if host is None:
             return None
-        attempt = Attempt(host, request, expires, ended, wanted)
+        attempt = UpstreamAttempt(host, request, expires, ended, wanted)
         connection = self._idle(host, attempt)
-        if connection is None and self.open >= self._limit and not self._make_room():
+        if connection is None and self.open_descriptors >= self._limit and not self._make_room():
             log.warning("no descriptor is left for another connection")
             return None
-        attempt.leave_by(leave_by)
+        attempt.limit_last_byte(last_byte_before_s)
         if connection is not None:
             connection.carry(attempt)
             return attempt
@@ -325,7 +340,7 @@
         attempt.task.add_done_callback(lambda _: self._connected(host, attempt))
         return attempt
 
-    def _idle(self, host: _Host, attempt: Attempt) -> _Connection | None:
+    def _idle(self, host: _EndpointConnections, attempt: UpstreamAttempt) -> UpstreamConnection | None:
         """The latest used: the longer one has stood idle, the likelier its host has closed it.
 
         One that bore a refusal could bear it once more, and what must not run twice would move on by that: it
@@ -353,21 +368,21 @@
             min(idle, key=lambda connection: connection.idle_since).drop()
         return bool(idle)
 
-    async def _connect(self, host: _Host, attempt: Attempt) -> None:
+    async def _connect(self, host: _EndpointConnections, attempt: UpstreamAttempt) -> None:
         try:
             async with asyncio.timeout(self._connect_time):
                 _, connection = await asyncio.get_running_loop().create_connection(
-                    lambda: _Connection(self, host), *host.member.address
+                    lambda: UpstreamConnection(self, host), *host.member.address
                 )
         except (OSError, TimeoutError):
             return  # without a connection, the attempt ends as one that could not connect
         host.connecting.discard(attempt)
-        if attempt.over:
+        if attempt.is_over:
             connection.drop()
         elif connection.usable:  # one reset as soon as it was up would never report that it is lost
             connection.carry(attempt)
 
-    def _connected(self, host: _Host, attempt: Attempt) -> None:
+    def _connected(self, host: _EndpointConnections, attempt: UpstreamAttempt) -> None:
         """The task is over, be it that it was cancelled before its first step, when nothing in it has run."""
         self._connecting -= 1
         host.connecting.discard(attempt)
--- /dev/null
+++ b/http_gateway/policy/balancer.py
@@ -0,0 +1,289 @@
+"""The balancer: hands each event to the parts of the policy, and owns the pending requests."""
+
+from __future__ import annotations
+
+from random import Random
+
+from http_gateway.policy.actions import (
+    Action,
+    CancelAttempt,
+    FailRequest,
+    SetTimer,
+    ShedRequest,
+    StartAttempt,
+    WatchEndpointList,
+)
+from http_gateway.policy.endpoint_selection import EndpointSelector
+from http_gateway.policy.endpoint_set import EndpointSet
+from http_gateway.policy.events import (
+    AttemptEnded,
+    EndpointListUpdate,
+    Event,
+    ListUpdateKind,
+    Outcome,
+    RequestAbandoned,
+    RequestArrived,
+    RequestId,
+    ResponseStreamStarted,
+    TimerFired,
+)
+from http_gateway.policy.latency_estimate import LatencyEstimate
+from http_gateway.policy.load_shedding import LoadShedder
+from http_gateway.policy.outlier_detection import OutlierDetector
+from http_gateway.policy.pending_request import Attempt, PendingRequest
+from http_gateway.policy.retry_policy import RetryPolicy, may_shed, retry_deadline_us
+from http_gateway.policy.settings import RequestClass, Settings
+from http_gateway.policy.slow_start import SlowStart
+from http_gateway.policy.tenant_quota import TenantQuotas
+from http_gateway.policy.time_units import US_PER_S
+from http_gateway.policy.tracked_endpoint import TrackedEndpoint
+
+IN_TIME_FRACTION = 0.5  # of the latency objective, within which responses come while an endpoint has capacity
+RETRY_AFTER_FRACTION = 0.25  # of the latency objective, after which a client may come back
+RETRY_AFTER_JITTER = 0.5
+WATCH_RETRY_US = US_PER_S  # mean pause after a failed call to discovery
+WATCH_RETRY_JITTER = 0.5
+WATCH_TIMER = "subscribe"  # token of the timer that calls discovery again; all others name an attempt
+
+
+class Balancer:
+    """Takes one event and its time and returns the actions to carry out, in order.
+
+    It reads no clock and does no I/O: the same settings, seed and events give the same actions.
+    """
+
+    def __init__(self, settings: Settings, seed: int) -> None:
+        self._settings = settings
+        self._random = Random(seed)
+        self._classes = {request_class.name: request_class for request_class in settings.classes}
+        self._pending: dict[RequestId, PendingRequest] = {}
+        self._latency = LatencyEstimate()
+        self._quotas = TenantQuotas(settings.tenant_quotas_per_s)
+        self._shedder = LoadShedder(settings.over_quota_weight, self._random)
+        self._retries = RetryPolicy(settings)
+        self._slow_start = SlowStart(settings, self._random)
+        self._endpoints = EndpointSet(settings, self._random, self._slow_start)
+        self._selector = EndpointSelector(
+            settings, self._random, self._endpoints, self._slow_start, self._latency
+        )
+        self._outliers = OutlierDetector(self._endpoints, self._latency)
+
+    def handle(self, event: Event, now_us: int) -> list[Action]:
+        """Take one event; return the actions to carry out, in order."""
+        match event:
+            case RequestArrived():
+                return self._on_request(event, now_us)
+            case AttemptEnded():
+                return self._on_attempt_ended(event, now_us)
+            case EndpointListUpdate():
+                return self._on_endpoint_list(event, now_us)
+            case TimerFired(token):
+                return self._on_timer(token, now_us)
+            case ResponseStreamStarted():
+                return self._on_response_stream(event, now_us)
+            case RequestAbandoned(request_id):
+                pending = self._pending.get(request_id)
+                return self._complete(pending) if pending else []
+            case _:
+                return []
+
+    # Requests
+
+    def _on_request(self, request: RequestArrived, now_us: int) -> list[Action]:
+        request_class = self._class_of(request)
+        self._endpoints.follow_warm_up(now_us)
+        pending = PendingRequest(request, request_class, now_us, now_us + request.timeout_us)
+        self._pending[request.request_id] = pending
+        self._retries.on_request()
+        over_quota = self._quotas.is_over_quota(request, now_us)
+        cost_us = self._latency.cost_us(pending)
+        if self._shedder.sheds(request, request_class, over_quota=over_quota, cost_us=cost_us, now_us=now_us):
+            return self._answer(pending, now_us)
+        return self._attempt_or_answer(pending, now_us)
+
+    def _class_of(self, request: RequestArrived) -> RequestClass:
+        """The class of a request; one that the settings do not name must not be executed twice."""
+        known = self._classes.get(request.class_name)
+        if known is not None:
+            return known
+        timeout_us = request.timeout_us or 1
+        unknown = RequestClass("", timeout_us, timeout_us)
+        self._classes[unknown.name] = unknown  # one for all of them, since clients choose the names
+        return unknown
+
+    def _attempt_or_answer(self, pending: PendingRequest, now_us: int) -> list[Action]:
+        """Start another attempt, wait for those in flight, or give the final answer."""
+        actions = self._attempt(pending, now_us)
+        if actions or pending.has_attempt_in_flight:
+            return actions
+        # Failed attempts tell of their endpoints; that none had capacity, or all rejected it, tells of load.
+        if all(attempt.outcome is Outcome.REJECTED for attempt in pending.attempts):
+            self._shedder.record_signal(in_time=False, now_us=now_us)
+        return self._answer(pending, now_us)
+
+    def _attempt(self, pending: PendingRequest, now_us: int) -> list[Action]:
+        """Start an attempt, if the retry policy allows one and an endpoint admits it."""
+        if not self._retries.allows_attempt(pending, now_us):
+            return []
+        tracked = self._selector.choose(pending, now_us)
+        if tracked is None:
+            return []
+        self._retries.on_attempt(pending)
+        return self._start_attempt(pending, tracked, now_us)
+
+    def _start_attempt(self, pending: PendingRequest, tracked: TrackedEndpoint, now_us: int) -> list[Action]:
+        request_id, number = pending.request.request_id, len(pending.attempts)
+        is_probe = tracked.breaker.start_attempt()
+        is_class_probe = tracked.class_breaker(pending.request_class).start_attempt()
+        last_byte_before_us = retry_deadline_us(pending) or 0
+        reserved_cost_us = self._slow_start.reserve(tracked, self._latency.cost_us(pending), now_us)
+        pending.attempts.append(
+            Attempt(tracked.endpoint, now_us, is_probe, is_class_probe, reserved_cost_us=reserved_cost_us)
+        )
+        tracked.concurrency.start_attempt()
+        return [
+            StartAttempt(request_id, tracked.endpoint.id, last_byte_before_us=last_byte_before_us),
+            SetTimer(self._outliers.slow_attempt_timeout_us(pending), f"{request_id}:{number}"),
+        ]
+
+    def _answer(self, pending: PendingRequest, now_us: int) -> list[Action]:
+        """Give the final answer at once: shed where a retry does no harm, failed elsewhere."""
+        request_id = pending.request.request_id
+        if may_shed(pending, now_us):
+            retry_after_us = self._retry_after_us(pending.request_class)
+            return [ShedRequest(request_id, retry_after_us), *self._complete(pending)]
+        return [FailRequest(request_id), *self._complete(pending)]
+
+    def _retry_after_us(self, request_class: RequestClass) -> int:
+        """When a client should come back: in time for its latency objective, jittered to spread retries."""
+        jitter = self._random.uniform(1 - RETRY_AFTER_JITTER, 1 + RETRY_AFTER_JITTER)
+        pause_us = round(request_class.latency_objective_us * RETRY_AFTER_FRACTION * jitter)
+        if not self._settings.retry_after_allowed:
+            return 0
+        return min(pause_us, self._settings.max_retry_after_us)
+
+    def _complete(self, pending: PendingRequest) -> list[Action]:
+        """Cancel what is in flight, as no answer is needed; forget the request once all has ended."""
+        was_answered, pending.is_answered = pending.is_answered, True
+        in_flight = pending.attempts_in_flight
+        if not in_flight:
+            del self._pending[pending.request.request_id]
+        if was_answered or not self._settings.cancellation_allowed:
+            return []
+        request_id, attempts = pending.request.request_id, pending.attempts
+        return [
+            CancelAttempt(request_id, number) for number in in_flight if not attempts[number].is_streaming
+        ]
+
+    # Attempts
+
+    def _on_attempt_ended(self, event: AttemptEnded, now_us: int) -> list[Action]:
+        pending, attempt = self._find(event.request_id, event.attempt_number)
+        if pending is None or attempt is None:
+            return []
+        attempt.outcome = event.outcome
+        tracked = self._endpoints.of_attempt(attempt)
+        if tracked is not None:
+            tracked.concurrency.end_attempt()
+            self._learn(tracked, pending, attempt, now_us)
+        if event.request_completed or pending.is_answered:
+            return self._complete(pending)
+        return self._attempt_or_answer(pending, now_us)
+
+    def _on_response_stream(self, event: ResponseStreamStarted, now_us: int) -> list[Action]:
+        """From now on the attempt is the client's; how long its stream lasts tells nothing."""
+        pending, attempt = self._find(event.request_id, event.attempt_number)
+        if pending is None or attempt is None:
+            return []
+        tracked = self._endpoints.of_attempt(attempt)
+        if tracked is not None:
+            tracked.record_response(pending.request_class, attempt, now_us)
+        attempt.is_judged = attempt.is_streaming = True
+        return self._complete(pending)
+
+    def _on_timer(self, token: str, now_us: int) -> list[Action]:
+        if token == WATCH_TIMER:
+            return [WatchEndpointList()]
+        request_id, attempt_number = token.split(":")
+        return self._on_attempt_timer(int(request_id), int(attempt_number), now_us)
+
+    def _on_attempt_timer(self, request_id: RequestId, attempt_number: int, now_us: int) -> list[Action]:
+        """A slow attempt is judged as soon as it is known to be slow, and its fallback starts beside it."""
+        pending, attempt = self._find(request_id, attempt_number)
+        if pending is None or attempt is None or attempt.outcome is not None or attempt.is_judged:
+            return []
+        tracked = self._endpoints.of_attempt(attempt)
+        if tracked is None or not self._outliers.record_if_slow(tracked, pending, attempt, now_us):
+            return []
+        return [] if pending.is_answered else self._attempt(pending, now_us)
+
+    def _find(
+        self, request_id: RequestId, attempt_number: int
+    ) -> tuple[PendingRequest | None, Attempt | None]:
+        pending = self._pending.get(request_id)
+        if pending is None or not 0 <= attempt_number < len(pending.attempts):
+            return pending, None
+        return pending, pending.attempts[attempt_number]
+
+    # What attempts tell
+
+    def _learn(
+        self, tracked: TrackedEndpoint, pending: PendingRequest, attempt: Attempt, now_us: int
+    ) -> None:
+        """Learn from an attempt that has ended."""
+        served = attempt.outcome is Outcome.OK and not attempt.is_streaming
+        if served:
+            self._learn_latency(tracked, pending, attempt, now_us)
+        self._signal_load(pending, attempt, now_us)
+        if served:
+            tracked.record_response(pending.request_class, attempt, now_us)
+        if not attempt.is_judged:
+            self._adapt_concurrency(tracked, pending, attempt, now_us)
+            self._outliers.record_end(tracked, pending, attempt, now_us)
+
+    def _learn_latency(
+        self, tracked: TrackedEndpoint, pending: PendingRequest, attempt: Attempt, now_us: int
+    ) -> None:
+        latency_us = now_us - attempt.started_at_us
+        tracked.load.record_latency(latency_us, self._latency.expected_us(pending), now_us)
+        self._latency.record(pending, latency_us)
+        cost_us = self._latency.cost_us(pending)
+        self._slow_start.record_response(tracked, attempt.reserved_cost_us, cost_us, now_us)
+
+    def _signal_load(self, pending: PendingRequest, attempt: Attempt, now_us: int) -> None:
+        """Tell load shedding whether the attempt was in time.
+
+        One that was cancelled before it was late, as when its client leaves, tells nothing of the load.
+        """
+        is_late = now_us - attempt.started_at_us > _in_time_us(pending.request_class)
+        if attempt.outcome is Outcome.OK:
+            self._shedder.record_signal(in_time=not is_late, now_us=now_us)
+        elif attempt.outcome is Outcome.TIMEOUT or (is_late and attempt.outcome is Outcome.CANCELLED):
+            self._shedder.record_signal(in_time=False, now_us=now_us)
+
+    def _adapt_concurrency(
+        self, tracked: TrackedEndpoint, pending: PendingRequest, attempt: Attempt, now_us: int
+    ) -> None:
+        in_time = now_us - pending.arrived_at_us <= _in_time_us(pending.request_class)
+        if attempt.outcome is Outcome.OK and in_time:
+            tracked.concurrency.increase()
+        elif attempt.outcome is not Outcome.CANCELLED:
+            tracked.concurrency.decrease(attempt.started_at_us, now_us)
+
+    # The endpoint list
+
+    def _on_endpoint_list(self, update: EndpointListUpdate, now_us: int) -> list[Action]:
+        is_polled = self._settings.discovery_is_polled
+        if update.kind is ListUpdateKind.FAILED:  # the last list stays in force
+            return [self._watch_retry_timer()] if is_polled else []
+        self._endpoints.apply(update, now_us)
+        return [WatchEndpointList()] if is_polled and update.kind is ListUpdateKind.CACHED else []
+
+    def _watch_retry_timer(self) -> SetTimer:
+        """Call discovery again after a jittered pause, so that not all gateways do so at once."""
+        jitter = self._random.uniform(1 - WATCH_RETRY_JITTER, 1 + WATCH_RETRY_JITTER)
+        return SetTimer(round(WATCH_RETRY_US * jitter), WATCH_TIMER)
+
+
+def _in_time_us(request_class: RequestClass) -> float:
+    return IN_TIME_FRACTION * request_class.latency_objective_us
--- a/whinrouter/__main__.py
+++ b/http_gateway/service.py
@@ -11,15 +11,15 @@
 from collections.abc import Sequence
 from dataclasses import replace
 
-from whinrouter.balance import Balancer
-from whinrouter.interface import SECOND
-from whinrouter.net.config import Config, ConfigError, load, reload
-from whinrouter.net.discovery import Discovery
-from whinrouter.net.frontend import Frontend
-from whinrouter.net.gateway import Gateway
-from whinrouter.net.upstream import Upstream
+from http_gateway.net.config import ConfigError, GatewayConfig, load_config, reload_config
+from http_gateway.net.discovery.client import DiscoveryClient
+from http_gateway.net.frontend.listener import Frontend
+from http_gateway.net.request_dispatcher import RequestDispatcher
+from http_gateway.net.upstream.pool import UpstreamPool
+from http_gateway.policy.balancer import Balancer
+from http_gateway.policy.time_units import US_PER_S
 
-log = logging.getLogger("whinrouter")
+log = logging.getLogger("http_gateway")
 
 RESERVED = 32  # descriptors for all that is no client's and no host's connection, or not counted yet
 STILL_ACCEPTING = 0.5  # seconds for which connections go on coming after SIGTERM
@@ -31,46 +31,48 @@
 SELDOM = 1.0  # seconds between two log lines of a kind
 
 
-async def serve(config: Config, early: Sequence[int] = ()) -> None:
+async def serve(config: GatewayConfig, early: Sequence[int] = ()) -> None:
     """Run until SIGTERM; `early` are the signals to read the file again that came after it was read."""
-    half = max(1, (config.sockets - RESERVED) // 2)
-    upstream = Upstream(config.connect_time, config.idle_time, half)
-    gateway = Gateway(Balancer(config.settings, config.seed), upstream)
-    gateway.list_hosts(config.known, stale=True)
-    frontend = Frontend(gateway, config.settings, half)
+    half = max(1, (config.max_descriptors - RESERVED) // 2)
+    upstream = UpstreamPool(config.connect_timeout_s, config.idle_timeout_s, half)
+    dispatcher = RequestDispatcher(Balancer(config.settings, config.seed), upstream)
+    dispatcher.update_endpoints(config.cached_list, is_cached=True)
+    frontend = Frontend(dispatcher, config.settings, half)
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
     try:
-        listener = frontend.bind(*config.listen)
+        listener = frontend.bind(*config.listen_address)
     except OSError as error:
         raise ConfigError(
-            f"cannot listen on {config.listen[0]}:{config.listen[1]}: {error.strerror}"
+            f"cannot listen on {config.listen_address[0]}:{config.listen_address[1]}: {error.strerror}"
         ) from None
-    discovery = Discovery(config.discovery, config.known.revision, gateway.list_hosts, config.settings)
+    discovery = DiscoveryClient(
+        config.discovery_address, config.cached_list.revision, dispatcher.update_endpoints, config.settings
+    )
     discovery.start()
     reload_file = _Reload(config, discovery)
     loop.add_signal_handler(signal.SIGHUP, reload_file)
     if early:
         reload_file()
-    if not config.settings.must_subscribe:
-        await _any_of(FIRST_LIST_TIME, discovery.heard, stop)
-        if not discovery.heard.is_set():
+    if not config.settings.discovery_is_polled:
+        await _any_of(FIRST_LIST_TIME, discovery.first_list_received, stop)
+        if not discovery.first_list_received.is_set():
             log.warning("discovery has said nothing yet; going on with the list of the last run")
     port = await frontend.listen(listener)
     lag = loop.create_task(_watch_lag())
     # What exists now stays: the collector need not look at it again, which would hold up the loop.
     gc.collect()
     gc.freeze()
-    log.info("%s listens on %s:%d", config.name, config.listen[0], port)
+    log.info("%s listens on %s:%d", config.name, config.listen_address[0], port)
     await stop.wait()
-    log.info("stopping: %d requests held", gateway.holds)
-    longest = max(kind.deadline for kind in config.settings.classes) / SECOND
-    frontend.ends = loop.time() + STILL_ACCEPTING + longest
+    log.info("stopping: %d requests held", dispatcher.unanswered_count)
+    longest = max(kind.timeout_us for kind in config.settings.classes) / US_PER_S
+    frontend.begin_shutdown(loop.time() + STILL_ACCEPTING + longest)
     await asyncio.sleep(STILL_ACCEPTING)
-    await frontend.empty_backlog()
-    frontend.close()
+    await frontend.accept_backlog()
+    frontend.stop_accepting()
     await _until_answered(frontend)
     discovery.stop()
     lag.cancel()
@@ -107,22 +109,22 @@
 class _Reload:
     """On SIGHUP: read the file again, and watch the discovery that it names."""
 
-    def __init__(self, config: Config, discovery: Discovery) -> None:
+    def __init__(self, config: GatewayConfig, discovery: DiscoveryClient) -> None:
         self._config = config
         self._discovery = discovery
 
     def __call__(self) -> None:
         try:
-            told = reload(os.environ)
+            told = reload_config(os.environ)
         except ConfigError as error:
             log.error("reload: %s; going on with what is in force", error)
             return
-        old, self._config = self._config, replace(self._config, discovery=told.discovery)
-        if told.discovery != old.discovery:
-            log.info("reload: discovery is now at %s:%d", *told.discovery)
-            self._discovery.move(told.discovery)
+        old, self._config = self._config, replace(self._config, discovery_address=told.discovery_address)
+        if told.discovery_address != old.discovery_address:
+            log.info("reload: discovery is now at %s:%d", *told.discovery_address)
+            self._discovery.move_to(told.discovery_address)
         # These two are new in every file, and of use at a start alone.
-        if replace(told, seed=old.seed, known=old.known) != self._config:
+        if replace(told, seed=old.seed, cached_list=old.cached_list) != self._config:
             log.warning("reload: only discovery changes; the rest of the file waits for the next start")
 
 
@@ -146,7 +148,7 @@
             log.warning("the loop runs %d ms late", (loop.time() - due) * 1000)
 
 
-async def _to_the_end(config: Config, early: Sequence[int]) -> None:
+async def _to_the_end(config: GatewayConfig, early: Sequence[int]) -> None:
     """Serve, and let no signal through after that: without a handler it would end us as though by a crash."""
     try:
         await serve(config, early)
@@ -166,12 +168,8 @@
     early: list[int] = []  # such a signal would end the program, or find the file read and be lost
     signal.signal(signal.SIGHUP, lambda number, _: early.append(number))
     try:
-        asyncio.run(_to_the_end(load(os.environ), early))
+        asyncio.run(_to_the_end(load_config(os.environ), early))
     except ConfigError as error:
-        print(f"whinrouter: {error}", file=sys.stderr)
+        print(f"http_gateway: {error}", file=sys.stderr)
         return 2
     return 0
-
-
-if __name__ == "__main__":
-    sys.exit(main())
--- a/tests/test_repeats.py
+++ b/tests/integration/test_retries.py
@@ -14,33 +14,41 @@
 
 import pytest
 
-from tests.helpers import KEYED as KEYED_BY
-from tests.helpers import Driver
-from tests.peers import (
-    GENEROUS,
+from http_gateway.net.http.messages import Message
+from http_gateway.net.upstream import pool
+from http_gateway.policy.endpoint import Endpoint
+from http_gateway.policy.events import ListUpdateKind, Outcome
+from http_gateway.policy.settings import DeduplicationScope, Idempotency, RequestClass, Settings
+from http_gateway.policy.time_units import US_PER_MS
+from tests.support.loopback import (
     READ,
-    Client,
-    Peer,
-    Running,
-    peers,
-    request_text,
-    resets,
-    running,
-    says,
-    scenario,
-    silent,
-    until,
+    TEST_TIMEOUT_S,
+    LoopbackClient,
+    LoopbackPeer,
+    RunningGateway,
+    async_test,
+    never_respond,
+    request_bytes,
+    reset_connection,
+    respond_with,
+    running_gateway,
+    start_peers,
+    wait_until,
 )
-from whinrouter.interface import MS, Effect, Outcome, RequestClass, Scope, Server, Settings, Update
-from whinrouter.net import upstream
-from whinrouter.net.http import Message
-
-from .test_upstream import HOST, PAGE, Sender
-
-WINDOW = 300 * MS
-ADD = RequestClass("chapter-add", 400 * MS, 20_000 * MS, Effect.KEYED, Scope.CELL, WINDOW)
-ADD_ANYWHERE = replace(ADD, name="chapter-put", scope=Scope.ALL)
-SETTINGS = Settings((ADD, ADD_ANYWHERE), max_attempts=5, may_hedge=True, may_cancel=True)
+from tests.support.policy_driver import KEYED_CLASSES, PolicyDriver
+from tests.support.upstream import HOST, PAGE, Sender
+
+WINDOW = 300 * US_PER_MS
+ADD = RequestClass(
+    "chapter-add",
+    400 * US_PER_MS,
+    20_000 * US_PER_MS,
+    Idempotency.IDEMPOTENCY_KEY,
+    DeduplicationScope.GROUP,
+    WINDOW,
+)
+ADD_ANYWHERE = replace(ADD, name="chapter-put", deduplication_scope=DeduplicationScope.ALL)
+SETTINGS = Settings((ADD, ADD_ANYWHERE), max_attempts=5, hedging_allowed=True, cancellation_allowed=True)
 
 
 POST = Message(b"POST", b"/chapter-add", headers=[(b"x-request-id", b"1")], body=b"text")
@@ -49,7 +57,7 @@
 class HeldUp:
     """Connections to these hosts come up only once they may."""
 
-    def __init__(self, monkeypatch: pytest.MonkeyPatch, *hosts: Peer) -> None:
+    def __init__(self, monkeypatch: pytest.MonkeyPatch, *hosts: LoopbackPeer) -> None:
         self.may = asyncio.Event()
         self.waiting = 0
         loop = asyncio.get_running_loop()
@@ -65,26 +73,27 @@
         monkeypatch.setattr(loop, "create_connection", held_up)
 
 
-def prefer(proxy: Running, *hosts: Peer) -> None:
+def prefer(gateway: RunningGateway, *hosts: LoopbackPeer) -> None:
     """Have the module try them in this order."""
-    order = [host.member().server.id for host in hosts]
-    known = proxy.balancer._hosts
+    order = [host.endpoint_entry().endpoint.id for host in hosts]
+    known = gateway.balancer._endpoints._endpoints
 
     def candidates(key: str | None) -> Any:
         return iter([known[server] for server in order if server in known])
 
-    proxy.balancer._candidates = candidates  # type: ignore[method-assign]
+    gateway.balancer._selector._candidates = candidates  # type: ignore[method-assign]
     for place, server in enumerate(order):
-        known[server].pace, known[server].paced_at = 1.0 + place, 2**62
+        known[server].load.latency_ratio = 1.0 + place
+        known[server].load.latency_ratio_at_us = 2**62
 
 
-async def ask(proxy: Running, kind: RequestClass) -> tuple[Client, Message]:
-    client = await proxy.client()
-    return client, await client.ask(kind.name, {"Idempotency-Key": "5c0f"})
+async def ask(gateway: RunningGateway, kind: RequestClass) -> tuple[LoopbackClient, Message]:
+    client = await gateway.connect()
+    return client, await client.request(kind.name, {"Idempotency-Key": "5c0f"})
 
 
 @pytest.mark.parametrize("kind", [ADD, ADD_ANYWHERE])
-@scenario
+@async_test
 async def test_a_repeat_whose_connection_comes_up_past_the_window_is_not_sent(
     monkeypatch: pytest.MonkeyPatch, kind: RequestClass
 ) -> None:
@@ -93,86 +102,99 @@
     That is no refusal, wherever the request may be repeated: it would come again past its window.
     """
     async with (
-        peers(resets, says()) as (first, other),
-        running(
-            first.member(cell=1), other.member(cell=1), settings=SETTINGS, connect_time=GENEROUS
-        ) as proxy,
+        start_peers(reset_connection, respond_with()) as (first, other),
+        running_gateway(
+            first.endpoint_entry(deduplication_group=1),
+            other.endpoint_entry(deduplication_group=1),
+            settings=SETTINGS,
+            connect_timeout_s=TEST_TIMEOUT_S,
+        ) as gateway,
     ):
-        prefer(proxy, first, other)
+        prefer(gateway, first, other)
         held_up = HeldUp(monkeypatch, other)
         began = time.monotonic()
-        client, answer = await ask(proxy, kind)
+        client, answer = await ask(gateway, kind)
         assert answer.status == 502
         assert held_up.waiting == 1
         assert WINDOW / 1e6 <= time.monotonic() - began < 5  # at once then, not at its deadline of 10 s
         held_up.may.set()
-        await until(lambda: not proxy.upstream._connecting)
-        await until(lambda: other.closed == other.connections)
+        await wait_until(lambda: not gateway.pool._connecting)
+        await wait_until(lambda: other.closed == other.connections)
         assert [len(first.requests), len(other.requests)] == [1, 0]
         client.close()
 
 
-@scenario
+@async_test
 async def test_a_repeat_inside_the_window_is_sent_though_its_connection_comes_up_late(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    settings = replace(SETTINGS, classes=(replace(ADD, dedup_window=60_000 * MS),))
+    settings = replace(SETTINGS, classes=(replace(ADD, deduplication_window_us=60_000 * US_PER_MS),))
     async with (
-        peers(resets, says()) as (first, other),
-        running(
-            first.member(cell=1), other.member(cell=1), settings=settings, connect_time=GENEROUS
-        ) as proxy,
+        start_peers(reset_connection, respond_with()) as (first, other),
+        running_gateway(
+            first.endpoint_entry(deduplication_group=1),
+            other.endpoint_entry(deduplication_group=1),
+            settings=settings,
+            connect_timeout_s=TEST_TIMEOUT_S,
+        ) as gateway,
     ):
-        prefer(proxy, first, other)
+        prefer(gateway, first, other)
         held_up = HeldUp(monkeypatch, other)
         asyncio.get_running_loop().call_later(2 * WINDOW / 1e6, held_up.may.set)
-        client, answer = await ask(proxy, ADD)
+        client, answer = await ask(gateway, ADD)
         assert answer.status == 200
         client.close()
 
 
-@scenario
+@async_test
 async def test_what_never_ran_moves_on_whenever_that_is_known(monkeypatch: pytest.MonkeyPatch) -> None:
     """The window runs from the first attempt that may have run; there is none."""
 
     async def turned_away_late(request: Message, writer: asyncio.StreamWriter) -> None:
         await asyncio.sleep(2 * WINDOW / 1e6)
-        await says(503, X_Not_Run="1")(request, writer)
+        await respond_with(503, X_Not_Run="1")(request, writer)
 
-    settings = replace(SETTINGS, may_hedge=False)
+    settings = replace(SETTINGS, hedging_allowed=False)
     async with (
-        peers(turned_away_late, says()) as (first, other),
-        running(first.member(cell=1), other.member(cell=2), settings=settings) as proxy,
+        start_peers(turned_away_late, respond_with()) as (first, other),
+        running_gateway(
+            first.endpoint_entry(deduplication_group=1),
+            other.endpoint_entry(deduplication_group=2),
+            settings=settings,
+        ) as gateway,
     ):
-        prefer(proxy, first, other)
-        client, answer = await ask(proxy, ADD)
+        prefer(gateway, first, other)
+        client, answer = await ask(gateway, ADD)
         assert answer.status == 200
         assert [len(first.requests), len(other.requests)] == [1, 1]
         client.close()
 
 
-@scenario
+@async_test
 async def test_a_first_attempt_that_comes_up_long_after_its_copy_is_not_sent(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The copy beside it arrived first: the window runs from that one, and the late one is the repeat."""
     async with (
-        peers(says(), silent) as (first, other),
-        running(
-            first.member(cell=1), other.member(cell=1), settings=SETTINGS, connect_time=GENEROUS
-        ) as proxy,
+        start_peers(respond_with(), never_respond) as (first, other),
+        running_gateway(
+            first.endpoint_entry(deduplication_group=1),
+            other.endpoint_entry(deduplication_group=1),
+            settings=SETTINGS,
+            connect_timeout_s=TEST_TIMEOUT_S,
+        ) as gateway,
     ):
-        prefer(proxy, first, other)
-        proxy.balancer._usual_time[ADD.name] = 10 * MS
+        prefer(gateway, first, other)
+        gateway.balancer._latency._median_per_cost[ADD.name] = 10 * US_PER_MS
         held_up = HeldUp(monkeypatch, first)
-        client = await proxy.client()
-        client.writer.write(request_text(ADD.name, {"Idempotency-Key": "5c0f"}))
-        await until(lambda: other.requests)
-        (request,) = proxy.gateway._held
-        await until(lambda: proxy.gateway._held[request].sent[0].over)
+        client = await gateway.connect()
+        client.writer.write(request_bytes(ADD.name, {"Idempotency-Key": "5c0f"}))
+        await wait_until(lambda: other.requests)
+        (request,) = gateway.dispatcher._held
+        await wait_until(lambda: gateway.dispatcher._held[request].sent[0].over)
         held_up.may.set()
-        await until(lambda: not proxy.upstream._connecting)
-        await until(lambda: first.closed == first.connections)
+        await wait_until(lambda: not gateway.pool._connecting)
+        await wait_until(lambda: first.closed == first.connections)
         assert not first.requests
         client.close()
 
@@ -202,8 +224,8 @@
 
         loop.create_connection = narrow  # type: ignore[method-assign, assignment]
         message = Message(b"POST", b"/chapter-add", headers=[(b"x-request-id", b"1")], body=bytes(size))
-        self.sender.attempt = self.sender.upstream.send(
-            HOST, message, loop.time() + 30, self.sender._ended, leave_by=leave_by
+        self.sender.attempt = self.sender.pool.start_attempt(
+            HOST, message, loop.time() + 30, self.sender._ended, last_byte_before_s=leave_by
         )
         host, _ = await loop.sock_accept(self.listener)
         return host
@@ -219,26 +241,26 @@
         return text
 
 
-@scenario
+@async_test
 async def test_a_request_that_is_taken_too_slowly_is_given_up_in_time() -> None:
     stuck = Stuck()
     loop = asyncio.get_running_loop()
     began = loop.time()
     host = await stuck.accept(1_000_000, began + 0.2)
-    await until(lambda: stuck.sender.ends)
+    await wait_until(lambda: stuck.sender.ends)
     assert 0.2 <= loop.time() - began < 5
     assert stuck.sender.ends == [(Outcome.NOT_SENT, None)]
     assert len(await Stuck.all_of(host)) < 1_000_000
 
 
-@scenario
+@async_test
 async def test_the_last_byte_does_not_leave_late_though_the_loop_does() -> None:
     """The host reads on as the time runs out, and the loop learns of both in one turn, the reading first."""
     stuck = Stuck()
     loop = asyncio.get_running_loop()
     leave_by = loop.time() + 1.0
     host = await stuck.accept(20_000, leave_by)
-    await until(lambda: stuck.sender.upstream.connections and not stuck.sender.upstream._connecting)
+    await wait_until(lambda: stuck.sender.pool.connection_count and not stuck.sender.pool._connecting)
     stuck.near.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 2**20)  # all that is left could leave at once
     host.settimeout(0.05)
     text = b""
@@ -254,18 +276,18 @@
     assert stuck.sender.ends == [(Outcome.NOT_SENT, None)]
 
 
-@scenario
+@async_test
 async def test_a_refusal_that_comes_twice_is_no_verdict_on_the_next_request(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """It says that nothing ran; by it, what must not run twice would be sent to another host."""
-    monkeypatch.setattr(upstream, "SETTLE_TIME", 0.0)
+    """It respond_with that nothing ran; by it, what must not run twice would be sent to another host."""
+    monkeypatch.setattr(pool, "SETTLE_TIME", 0.0)
 
     async def script(request: Message, writer: asyncio.StreamWriter) -> None:
-        await says(503, X_Not_Run="1")(request, writer) if writer is host.askers[0] else None
-        await says()(request, writer)  # behind a refusal that was told anew, it runs all the same
+        await respond_with(503, X_Not_Run="1")(request, writer) if writer is host.request_writers[0] else None
+        await respond_with()(request, writer)  # behind a refusal that was told anew, it runs all the same
 
-    async with peers(says(503, X_Not_Run="1")) as (host,):
+    async with start_peers(respond_with(503, X_Not_Run="1")) as (host,):
         sender = Sender(host.port)
         assert await sender.outcome(POST) is Outcome.REJECTED
         host.script = script
@@ -273,87 +295,92 @@
         assert host.connections == 2
 
 
-@scenario
+@async_test
 async def test_connections_that_bore_refusals_do_not_pile_up() -> None:
-    async with peers(says(503, X_Not_Run="1")) as (host,):
+    async with start_peers(respond_with(503, X_Not_Run="1")) as (host,):
         sender = Sender(host.port)
         for _ in range(5):
             assert await sender.outcome(POST) is Outcome.REJECTED
-            assert len(sender.upstream._hosts[HOST].idle) == 1
+            assert len(sender.pool.idle_connections(HOST)) == 1
         assert host.connections == 5
 
 
-@scenario
+@async_test
 async def test_an_attempt_for_which_no_descriptor_is_left_ends_once(monkeypatch: pytest.MonkeyPatch) -> None:
     """Its time to leave passes after that."""
-    async with peers(says()) as (host,):
-        sender = Sender(host.port, limit=0)
+    async with start_peers(respond_with()) as (host,):
+        sender = Sender(host.port, max_connections=0)
         loop = asyncio.get_running_loop()
         leave_by = loop.time() + 0.05
-        assert sender.upstream.send(HOST, POST, loop.time() + 30, sender._ended, leave_by=leave_by) is None
+        assert (
+            sender.pool.start_attempt(
+                HOST, POST, loop.time() + 30, sender._ended, last_byte_before_s=leave_by
+            )
+            is None
+        )
         await asyncio.sleep(0.1)
         assert not sender.ends
 
 
-@scenario
+@async_test
 async def test_a_connection_that_bore_a_refusal_still_carries_what_is_safe() -> None:
-    async with peers(says(503, X_Not_Run="1")) as (host,):
+    async with start_peers(respond_with(503, X_Not_Run="1")) as (host,):
         sender = Sender(host.port)
         assert [await sender.outcome(PAGE) for _ in range(3)] == [Outcome.REJECTED] * 3
         assert host.connections == 1
 
 
-@scenario
+@async_test
 async def test_an_attempt_is_at_its_end_before_another_leaves(monkeypatch: pytest.MonkeyPatch) -> None:
     """Its host keeps its own end open: where no second copies are allowed, this would be one."""
 
     async def nonsense(request: Message, writer: asyncio.StreamWriter) -> None:
         writer.write(b"what?\r\n\r\n")
 
-    settings = Settings((READ,), max_attempts=5, may_cancel=True)
+    settings = Settings((READ,), max_attempts=5, cancellation_allowed=True)
     async with (
-        peers(says(), says()) as hosts,
-        running(*(host.member() for host in hosts), settings=settings) as proxy,
+        start_peers(respond_with(), respond_with()) as hosts,
+        running_gateway(*(host.endpoint_entry() for host in hosts), settings=settings) as gateway,
     ):
         while not all(host.requests for host in hosts):
-            assert (await proxy.ask()).status == 200
+            assert (await gateway.request()).status == 200
         for host in hosts:
             host.requests.clear()
-            for idle in proxy.upstream._hosts[host.member().server.id].idle:
+            for idle in gateway.pool.idle_connections(host.endpoint_entry().endpoint.id):
                 idle.idle_since = 0.0
-        prefer(proxy, *hosts)
+        prefer(gateway, *hosts)
         hosts[0].script = nonsense
-        carry, ended = upstream._Connection.carry, []
+        carry, ended = pool.UpstreamConnection.carry, []
 
-        def carried(connection: upstream._Connection, attempt: upstream.Attempt) -> None:
+        def carried(connection: pool.UpstreamConnection, attempt: pool.UpstreamAttempt) -> None:
             other = socket.socket(fileno=os.dup(hosts[0].writers[0].get_extra_info("socket").fileno()))
             with other, contextlib.suppress(BlockingIOError):
                 ended.append(other.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT))
             carry(connection, attempt)
 
-        monkeypatch.setattr(upstream._Connection, "carry", carried)
-        assert (await proxy.ask()).status == 200
+        monkeypatch.setattr(pool.UpstreamConnection, "carry", carried)
+        assert (await gateway.request()).status == 200
         assert [len(host.requests) for host in hosts] == [1, 1]
         assert ended == [b""]
 
 
-@scenario
+@async_test
 async def test_a_request_is_whole_only_with_its_last_byte() -> None:
     """Two writes, but no more: small ones are not held back by the system."""
-    async with peers(says()) as (host,):
+    async with start_peers(respond_with()) as (host,):
         sender = Sender(host.port)
         assert await sender.outcome(POST) is Outcome.OK
         assert host.requests[0].body == POST.body
 
 
-@scenario
+@async_test
 async def test_the_last_byte_does_not_leave_for_a_client_that_has_left() -> None:
     """It left while the host took no more; nobody has told the gateway yet."""
     stuck = Stuck()
     host = await stuck.accept(20_000, math.inf)
-    await until(lambda: stuck.sender.attempt is not None and stuck.sender.attempt.connection)
+    await wait_until(lambda: stuck.sender.attempt is not None and stuck.sender.attempt.connection)
     assert stuck.sender.attempt is not None
-    assert not stuck.sender.attempt.written
+    assert not stuck.sender.attempt.is_written
     stuck.sender.attempt.wanted = lambda: False
     text = await Stuck.all_of(host)
     assert len(text) == text.index(b"\r\n\r\n") + 4 + 20_000 - 1
@@ -363,57 +390,74 @@
 # What the module allows
 
 
-def first_and_repeat(driver: Driver, kind: RequestClass) -> list[int]:
+def first_and_repeat(driver: PolicyDriver, kind: RequestClass) -> list[int]:
     """Ask, lose the first answer, and tell where it was sent."""
-    request = driver.ask(kind)
-    driver.end(driver.out(request)[0], Outcome.RESET)
-    return [sent.server for sent in driver.attempts(request)]
+    request = driver.send_request(kind)
+    driver.end_attempt(driver.in_flight(request)[0], Outcome.RESET)
+    return [sent.endpoint_id for sent in driver.attempts_of(request)]
 
 
 def test_a_repeat_bears_the_moment_by_which_it_has_to_leave() -> None:
-    driver = Driver(count=8)
-    request = driver.ask(KEYED_BY[Scope.ALL])
-    assert driver.attempts(request)[0].last_byte == 0
-    began, driver.now = driver.now, driver.now + 150 * MS
-    driver.end(driver.out(request)[0], Outcome.RESET)
-    assert driver.attempts(request)[1].last_byte == began + KEYED_BY[Scope.ALL].dedup_window
-
-
-@pytest.mark.parametrize(("late", "answer"), [(False, "refused"), (True, "failed")])
+    driver = PolicyDriver(endpoint_count=8)
+    request = driver.send_request(KEYED_CLASSES[DeduplicationScope.ALL])
+    assert driver.attempts_of(request)[0].last_byte_before_us == 0
+    began, driver.now_us = driver.now_us, driver.now_us + 150 * US_PER_MS
+    driver.end_attempt(driver.in_flight(request)[0], Outcome.RESET)
+    assert (
+        driver.attempts_of(request)[1].last_byte_before_us
+        == began + KEYED_CLASSES[DeduplicationScope.ALL].deduplication_window_us
+    )
+
+
+@pytest.mark.parametrize(("late", "answer"), [(False, "shed"), (True, "failed")])
 def test_a_request_that_may_have_run_is_refused_inside_its_window_only(late: bool, answer: str) -> None:
     """Who is refused comes again; past the window that would run a second time."""
-    driver = Driver(count=1)
-    request = driver.ask(KEYED_BY[Scope.ALL])
-    driver.now += KEYED_BY[Scope.ALL].dedup_window - (0 if late else 1)
-    driver.end(driver.out(request)[0], Outcome.RESET)
+    driver = PolicyDriver(endpoint_count=1)
+    request = driver.send_request(KEYED_CLASSES[DeduplicationScope.ALL])
+    driver.now_us += KEYED_CLASSES[DeduplicationScope.ALL].deduplication_window_us - (0 if late else 1)
+    driver.end_attempt(driver.in_flight(request)[0], Outcome.RESET)
     assert driver.answers[request] == [answer]
 
 
 def test_what_never_ran_and_what_is_safe_bear_none() -> None:
-    driver = Driver(count=8)
-    moved = driver.ask(KEYED_BY[Scope.CELL])
-    driver.end(driver.out(moved)[0], Outcome.REJECTED)
-    safe = driver.ask()
-    driver.end(driver.out(safe)[0], Outcome.RESET)
-    assert [sent.last_byte for sent in driver.attempts(moved) + driver.attempts(safe)] == [0, 0, 0, 0]
-
-
-@pytest.mark.parametrize(("scope", "field"), [(Scope.ZONE, "zone"), (Scope.CELL, "cell")])
-def test_a_repeat_keeps_to_its_group_as_it_was_and_as_it_is(scope: Scope, field: str) -> None:
+    driver = PolicyDriver(endpoint_count=8)
+    moved = driver.send_request(KEYED_CLASSES[DeduplicationScope.GROUP])
+    driver.end_attempt(driver.in_flight(moved)[0], Outcome.REJECTED)
+    safe = driver.send_request()
+    driver.end_attempt(driver.in_flight(safe)[0], Outcome.RESET)
+    assert [sent.last_byte_before_us for sent in driver.attempts_of(moved) + driver.attempts_of(safe)] == [
+        0,
+        0,
+        0,
+        0,
+    ]
+
+
+@pytest.mark.parametrize(
+    ("scope", "field"), [(DeduplicationScope.ZONE, "zone"), (DeduplicationScope.GROUP, "deduplication_group")]
+)
+def test_a_repeat_keeps_to_its_group_as_it_was_and_as_it_is(scope: DeduplicationScope, field: str) -> None:
     """Its host has moved since: whether the old group or the new one remembers, nobody tells."""
-    driver = Driver(count=0)
-    group: dict[str, Any] = {"zone": "a", "cell": 1}
-    driver.list_servers([Server(number, **group) for number in (1, 2)])
-    request = driver.ask(KEYED_BY[scope])
-    (sent,) = driver.out(request)
-    moved = Server(sent.server, **{**group, field: "b" if field == "zone" else 2})
-    driver.list_servers([moved], Update.CHANGES)
-    driver.end(sent, Outcome.RESET)
+    driver = PolicyDriver(endpoint_count=0)
+    group: dict[str, Any] = {"zone": "a", "deduplication_group": 1}
+    driver.notify_endpoints([Endpoint(number, **group) for number in (1, 2)])
+    request = driver.send_request(KEYED_CLASSES[scope])
+    (sent,) = driver.in_flight(request)
+    moved = Endpoint(sent.endpoint_id, **{**group, field: "b" if field == "zone" else 2})
+    driver.notify_endpoints([moved], ListUpdateKind.DELTA)
+    driver.end_attempt(sent, Outcome.RESET)
     assert driver.answers[request] == ["failed"]
 
 
-@pytest.mark.parametrize(("scope", "unknown"), [(Scope.ZONE, {"zone": ""}), (Scope.CELL, {"cell": None})])
-def test_hosts_of_unknown_groups_are_not_taken_for_one_group(scope: Scope, unknown: dict[str, Any]) -> None:
-    driver = Driver(count=0)
-    driver.list_servers([Server(number, **{"zone": "a", "cell": 1, **unknown}) for number in (1, 2)])
-    assert len(first_and_repeat(driver, KEYED_BY[scope])) == 1
+@pytest.mark.parametrize(
+    ("scope", "unknown"),
+    [(DeduplicationScope.ZONE, {"zone": ""}), (DeduplicationScope.GROUP, {"deduplication_group": None})],
+)
+def test_hosts_of_unknown_groups_are_not_taken_for_one_group(
+    scope: DeduplicationScope, unknown: dict[str, Any]
+) -> None:
+    driver = PolicyDriver(endpoint_count=0)
+    driver.notify_endpoints(
+        [Endpoint(number, **{"zone": "a", "deduplication_group": 1, **unknown}) for number in (1, 2)]
+    )
+    assert len(first_and_repeat(driver, KEYED_CLASSES[scope])) == 1
--- a/tests/test_benchlink.py
+++ b/tests/integration/test_simulator.py
@@ -9,8 +9,9 @@
 
 import pytest
 
-from whinrouter.interface import Request
-from whinrouter.wire import event, settings
+from http_gateway.policy.events import RequestArrived
+from http_gateway.settings_reader import read_settings
+from http_gateway.simulator.codec import decode_event
 
 SETUP: dict[str, Any] = {
     "balancers": 2,
@@ -27,7 +28,7 @@
 
 
 def play(text: str) -> subprocess.CompletedProcess[str]:
-    command = [sys.executable, "-m", "whinrouter.benchlink"]
+    command = [sys.executable, "-m", "http_gateway.simulator"]
     return subprocess.run(command, input=text, capture_output=True, text=True, timeout=60, check=False)
 
 
@@ -135,7 +136,7 @@
 def test_a_malformed_line_ends_the_adapter_with_one_plain_message(text: str) -> None:
     result = play(text)
     assert result.returncode != 0
-    assert result.stderr.startswith("benchlink: malformed input: ")
+    assert result.stderr.startswith("http_gateway.simulator: malformed input: ")
     assert len(result.stderr.splitlines()) == 1
 
 
@@ -145,15 +146,15 @@
 
 def test_settings_give_each_balancer_its_part_of_a_tenants_allowance() -> None:
     realms = [{"name": "choir", "allowancePerS": 75.0, "share": 0.3}, {"name": "band"}]
-    found = settings(SETUP | {"realms": realms, "overShareWorth": 0.1, "rank": 1})
-    assert found.allowances == {"choir": 37.5}
-    assert (found.over_share_worth, found.rank, found.balancers) == (0.1, 1, 2)
+    found = read_settings(SETUP | {"realms": realms, "overShareWorth": 0.1, "rank": 1})
+    assert found.tenant_quotas_per_s == {"choir": 37.5}
+    assert (found.over_quota_weight, found.gateway_index, found.gateway_count) == (0.1, 1, 2)
 
 
 def test_a_request_carries_its_tenant_and_retry_mark() -> None:
-    request = event(order() | {"tenant": "choir", "isRetry": True})
-    assert isinstance(request, Request)
-    assert (request.tenant, request.retry) == ("choir", True)
+    request = decode_event(order() | {"tenant": "choir", "isRetry": True})
+    assert isinstance(request, RequestArrived)
+    assert (request.tenant, request.is_client_retry) == ("choir", True)
 
 
 def test_a_list_of_an_unknown_kind_is_read_as_changes() -> None:
--- a/tests/fleet.py
+++ b/tests/support/fleet.py
@@ -1,8 +1,8 @@
-"""Many balancers before the same servers, in virtual time: traffic, lists that come late, and what arrives.
+"""Many gateways before the same endpoints, in virtual time: traffic, late lists, and what arrives.
 
-Each balancer is played by a `Driver`, so the rules are checked at every action. A server is a queue that
-works at its capacity times its present warmth. It never falls over here: it records what arrives, and `worst`
-tells how far that went beyond what would have pushed it over.
+Each gateway is played by a `PolicyDriver`, so the rules are checked at every action. An endpoint is a queue
+that works at its capacity times its present warmth. It never falls over here: it records what arrives, and
+`worst` returns how far that went beyond what it withstands.
 """
 
 from __future__ import annotations
@@ -17,23 +17,15 @@
 from math import sqrt
 from random import Random
 
-from whinrouter.interface import (
-    MS,
-    SECOND,
-    Effect,
-    Outcome,
-    RequestClass,
-    Send,
-    Server,
-    ServerId,
-    Settings,
-    Update,
-)
+from http_gateway.policy.actions import StartAttempt
+from http_gateway.policy.endpoint import Endpoint, EndpointId
+from http_gateway.policy.events import ListUpdateKind, Outcome
+from http_gateway.policy.settings import Idempotency, RequestClass, Settings
+from http_gateway.policy.time_units import US_PER_MS, US_PER_S
+from tests.support.policy_driver import DrivenAttempt, PolicyDriver
 
-from .helpers import Driver, Sent
-
-START = 1000 * SECOND
-TURNED_AWAY = MS  # after which a server that is full, or gone, has said so
+START = 1000 * US_PER_S
+TURNED_AWAY = US_PER_MS  # after which a server that is full, or gone, has said so
 
 
 @dataclass(frozen=True)
@@ -43,15 +35,15 @@
     The weight of a server is its size; whether balancers can tell, their settings say.
     """
 
-    balancers: int
-    servers: tuple[Server, ...]
+    gateway_count: int
+    servers: tuple[Endpoint, ...]
     settings: Settings  # of every balancer, but for its rank, zone and classes
     capacity: float = 20.0  # requests of mean work a second of a warm server of size 1
     load: float = 0.6  # requests asked for, as a part of the capacity of all servers
     shares: tuple[float, ...] = ()  # of each balancer in the traffic, in any unit; none: all alike
     list_delay: int = 0  # a balancer is told of a change within this time
-    aim: int = SECOND  # of the one class of request
-    patience: int = 2 * SECOND  # a client waits for so long
+    latency_objective_us: int = US_PER_S  # of the one class of request
+    patience: int = 2 * US_PER_S  # a client waits for so long
     # Else cold servers answer as soon as warm ones, though they stand no more for that, and none of it is
     # given back to their budgets: what arrives is what the estimate alone allows.
     returns: bool = True
@@ -69,7 +61,7 @@
 
     def rates(self) -> list[float]:
         """Requests per second at each balancer."""
-        shares = self.shares or (1.0,) * self.balancers
+        shares = self.shares or (1.0,) * self.gateway_count
         total = self.load * self.capacity * sum(server.weight for server in self.servers)
         return [total * share / sum(shares) for share in shares]
 
@@ -88,7 +80,7 @@
 class Incarnation:
     """A server from one of its starts to the next."""
 
-    server: Server
+    server: Endpoint
     speed: float  # once warm, in requests of mean work per microsecond
     floor: float  # its warmth at its start
     ramp: int
@@ -100,9 +92,9 @@
     arrivals: list[Arrival] = field(default_factory=list)
 
     def warmth(self, now: int) -> float:
-        if not self.server.started or now >= self.server.started + self.ramp:
+        if not self.server.started_at_us or now >= self.server.started_at_us + self.ramp:
             return 1.0
-        return self.floor + (1 - self.floor) * (now - self.server.started) / self.ramp
+        return self.floor + (1 - self.floor) * (now - self.server.started_at_us) / self.ramp
 
     def take(self, work: float, now: int) -> int | None:
         """When a request that has arrived will be answered; None if the queue is full."""
@@ -118,7 +110,7 @@
 
     def could_do(self, now: int) -> float:
         """Since its start, in requests of mean work: its warmth rises evenly."""
-        begin = self.server.started
+        begin = self.server.started_at_us
         return self.speed * (now - begin) * (self.warmth(begin) + self.warmth(now)) / 2
 
 
@@ -126,7 +118,7 @@
 class Window:
     """What arrived at a cold server within the fall time, and what it stands."""
 
-    server: ServerId
+    server: EndpointId
     after: float  # seconds from the server's start to the begin of the window
     got: float  # in requests of mean work
     budget: float
@@ -144,23 +136,27 @@
 
 
 @dataclass
-class Member(Driver):
+class Member(PolicyDriver):
     """The host program of one balancer of a fleet."""
 
     version: int = 0  # of the list it has been told last
-    fresh: list[Sent] = field(default_factory=list)  # sent, and not yet on its way
+    fresh: list[DrivenAttempt] = field(default_factory=list)  # sent, and not yet on its way
     work: dict[int, float] = field(default_factory=dict)  # of each request that is open
-    connected: set[tuple[ServerId, int]] = field(default_factory=set)  # ids and starts
+    connected: set[tuple[EndpointId, int]] = field(default_factory=set)  # ids and starts
 
-    def _check_send(self, action: Send) -> None:
+    def _check_send(self, action: StartAttempt) -> None:
         super()._check_send(action)
-        self.fresh.append(self.sent[-1])
+        self.fresh.append(self.attempts[-1])
 
     def forget(self) -> None:
         """Drop the attempts of requests that are over: the driver looks through all it keeps."""
-        if len(self.sent) > 100:
-            busy = {sent.request for sent in self.sent if sent.outcome is None}
-            self.sent = [sent for sent in self.sent if sent.request in busy or sent.request in self.open]
+        if len(self.attempts) > 100:
+            busy = {sent.request_id for sent in self.attempts if sent.outcome is None}
+            self.attempts = [
+                sent
+                for sent in self.attempts
+                if sent.request_id in busy or sent.request_id in self.unanswered
+            ]
 
 
 class Fleet:
@@ -170,60 +166,60 @@
         self.plan = plan
         self.now = START
         self._random = Random(plan.seed)
-        self._cost = round(SECOND / plan.capacity)  # of mean work
-        self._kind = RequestClass("work", plan.aim, plan.patience, Effect.IDEMPOTENT)
+        self._cost = round(US_PER_S / plan.capacity)  # of mean work
+        self._kind = RequestClass("work", plan.latency_objective_us, plan.patience, Idempotency.IDEMPOTENT)
         self._events: list[tuple[int, int, Callable[[], None]]] = []
         self._number = count()
-        self._versions: list[tuple[Server, ...]] = [()]
-        self._running: dict[ServerId, Incarnation] = {}
+        self._versions: list[tuple[Endpoint, ...]] = [()]
+        self._running: dict[EndpointId, Incarnation] = {}
         self.incarnations: list[Incarnation] = []
         self.answers = Counter[str]()
         self._publish(plan.servers)
-        self.members = [self._start(rank, Update.FULL) for rank in range(plan.balancers)]
+        self.members = [self._start(rank, ListUpdateKind.COMPLETE) for rank in range(plan.gateway_count)]
         for rank, rate in enumerate(plan.rates()):
             self._ask_later(rank, rate)
 
     @property
-    def servers(self) -> tuple[Server, ...]:
+    def servers(self) -> tuple[Endpoint, ...]:
         """Those that run now."""
         return self._versions[-1]
 
     @property
     def cold(self) -> list[Incarnation]:
         """The incarnations that started cold."""
-        return [incarnation for incarnation in self.incarnations if incarnation.server.started]
+        return [incarnation for incarnation in self.incarnations if incarnation.server.started_at_us]
 
     def run(self, seconds: float) -> None:
-        end = self.now + round(seconds * SECOND)
+        end = self.now + round(seconds * US_PER_S)
         while self._events and self._events[0][0] <= end:
             self.now, _, event = heappop(self._events)
             event()
         self.now = end
 
-    def replace(self, leaving: Iterable[Server]) -> list[Server]:
+    def replace(self, leaving: Iterable[Endpoint]) -> list[Endpoint]:
         """Servers leave, and new ones like them start in their places."""
         gone = {server.id for server in leaving}
         last = max(server.id for server in self.servers)
         old = [server for server in self.servers if server.id in gone]
-        new = [replace(server, id=last + n, started=self.now) for n, server in enumerate(old, 1)]
+        new = [replace(server, id=last + n, started_at_us=self.now) for n, server in enumerate(old, 1)]
         self.announce((*(server for server in self.servers if server.id not in gone), *new))
         return new
 
-    def restart(self, servers: Iterable[Server]) -> None:
+    def restart(self, servers: Iterable[Endpoint]) -> None:
         """Servers start again under their old ids."""
         again = {server.id for server in servers}
-        self.announce(tuple(replace(s, started=self.now) if s.id in again else s for s in self.servers))
+        self.announce(tuple(replace(s, started_at_us=self.now) if s.id in again else s for s in self.servers))
 
-    def announce(self, servers: tuple[Server, ...]) -> None:
+    def announce(self, servers: tuple[Endpoint, ...]) -> None:
         """The fleet changes; each balancer hears of it in its own time."""
         self._publish(servers)
-        for rank in range(self.plan.balancers):
+        for rank in range(self.plan.gateway_count):
             self._tell_later(rank)
 
     def restart_balancer(self, rank: int, versions_back: int = 0) -> None:
         """A new instance starts with a list that its forerunner knew, maybe an old one."""
         version = max(1, self.members[rank].version - versions_back)
-        self.members[rank] = self._start(rank, Update.STALE, version)
+        self.members[rank] = self._start(rank, ListUpdateKind.CACHED, version)
         self._tell_later(rank)
 
     def worst(self, since: int = 0) -> Window:
@@ -231,7 +227,7 @@
         windows = [window for incarnation in self.cold for window in self._windows(incarnation, since)]
         return max(windows, key=lambda window: window.excess, default=Window(0, 0.0, 0.0, 0.0))
 
-    def used(self, servers: Iterable[Server]) -> float:
+    def used(self, servers: Iterable[Endpoint]) -> float:
         """What servers that started cold got, as a part of what they could have done."""
         wanted = set(servers)
         chosen = [incarnation for incarnation in self.cold if incarnation.server in wanted]
@@ -240,19 +236,19 @@
     def _windows(self, incarnation: Incarnation, since: int) -> Iterable[Window]:
         """From each arrival on; a fall counts if over two thirds of it came from balancers that were told."""
         arrivals = incarnation.arrivals
-        settings, started = self.plan.settings, incarnation.server.started
+        settings, started = self.plan.settings, incarnation.server.started_at_us
         moments = [arrival.at for arrival in arrivals]
         sums = list(accumulate((a.work for a in arrivals), initial=0.0))
         told = list(accumulate((a.told for a in arrivals), initial=0))
         for first, begin in enumerate(moments):
-            if not since <= begin < started + settings.ramp_time:
+            if not since <= begin < started + settings.slow_start_window_us:
                 continue
-            end = bisect_left(moments, begin + settings.fall_time)
+            end = bisect_left(moments, begin + settings.overload_window_us)
             if 3 * (told[end] - told[first]) <= 2 * (end - first):
                 continue
-            able = incarnation.speed * incarnation.warmth(begin) * settings.fall_time
-            got, budget = sums[end] - sums[first], settings.fall_multiple * able
-            window = Window(incarnation.server.id, (begin - started) / SECOND, got, budget)
+            able = incarnation.speed * incarnation.warmth(begin) * settings.overload_window_us
+            got, budget = sums[end] - sums[first], settings.overload_factor * able
+            window = Window(incarnation.server.id, (begin - started) / US_PER_S, got, budget)
             yield self._with_senders(window, arrivals[first:end]) if window.excess > 0 else window
 
     def _with_senders(self, window: Window, arrivals: list[Arrival]) -> Window:
@@ -263,20 +259,20 @@
 
     # Balancers and lists
 
-    def _start(self, rank: int, update: Update, version: int = 1) -> Member:
+    def _start(self, rank: int, update: ListUpdateKind, version: int = 1) -> Member:
         plan = self.plan
         settings = replace(
             plan.settings,
-            classes=(self._kind,), balancers=plan.balancers, rank=rank, zone=plan.zone(rank),
+            classes=(self._kind,), gateway_count=plan.gateway_count, gateway_index=rank, zone=plan.zone(rank),
         )  # fmt: skip
         seed = self._random.randrange(2**32)
         member = Member(settings, 0, seed, (self._kind,), self.now, version=version)
         if not plan.returns:
-            member.balancer._slow_start._returned = 0.0
-        member.list_servers(self._versions[version], update)
+            member.balancer._slow_start._credit_ratio = 0.0
+        member.notify_endpoints(self._versions[version], update)
         return member
 
-    def _publish(self, servers: tuple[Server, ...]) -> None:
+    def _publish(self, servers: tuple[Endpoint, ...]) -> None:
         self._versions.append(servers)
         running = {}
         for server in servers:
@@ -286,10 +282,10 @@
             old.up = running.get(old.server.id) is old
         self._running = running
 
-    def _boot(self, server: Server) -> Incarnation:
+    def _boot(self, server: Endpoint) -> Incarnation:
         plan, version = self.plan, len(self._versions) - 1
-        speed = plan.capacity * server.weight / SECOND
-        floor, ramp = plan.settings.cold_share, plan.settings.ramp_time
+        speed = plan.capacity * server.weight / US_PER_S
+        floor, ramp = plan.settings.initial_capacity, plan.settings.slow_start_window_us
         started = Incarnation(server, speed, floor, ramp, plan.returns, plan.queue, version)
         self.incarnations.append(started)
         return started
@@ -300,8 +296,8 @@
 
     def _tell(self, member: Member, rank: int, version: int) -> None:
         if member is self.members[rank] and version > member.version:
-            member.now, member.version = self.now, version
-            member.list_servers(self._versions[version])
+            member.now_us, member.version = self.now, version
+            member.notify_endpoints(self._versions[version])
             self._carry_out(member, rank)
 
     # Requests
@@ -310,17 +306,17 @@
         heappush(self._events, (self.now + delay, next(self._number), event))
 
     def _ask_later(self, rank: int, rate: float) -> None:
-        wait = max(1, round(self._random.expovariate(rate) * SECOND))
+        wait = max(1, round(self._random.expovariate(rate) * US_PER_S))
         self._later(wait, partial(self._ask, rank, rate))
 
     def _ask(self, rank: int, rate: float) -> None:
         member, plan = self.members[rank], self.plan
-        member.now = self.now
+        member.now_us = self.now
         member.forget()
         work = self._random.uniform(1 - plan.spread, 1 + plan.spread)
         request = len(member.answers) + 1
         member.work[request] = work
-        member.ask(self._kind, plan.patience, max(1, round(self._cost * work)))
+        member.send_request(self._kind, plan.patience, max(1, round(self._cost * work)))
         self._later(plan.patience, partial(self._time_out, member, rank, request))
         self._carry_out(member, rank)
         self._ask_later(rank, rate)
@@ -329,10 +325,10 @@
         """The client is gone; whatever is out for it has ended."""
         if member is not self.members[rank]:
             return
-        member.now = self.now
-        for sent in member.out(request):
-            member.end(sent, Outcome.TIMEOUT)
-        assert request not in member.open, "no final answer by the deadline"
+        member.now_us = self.now
+        for sent in member.in_flight(request):
+            member.end_attempt(sent, Outcome.TIMEOUT)
+        assert request not in member.unanswered, "no final answer by the deadline"
         self.answers.update(member.answers[request])
         del member.work[request]
         self._carry_out(member, rank)
@@ -347,28 +343,30 @@
 
     def _fire(self, member: Member, rank: int, token: str) -> None:
         if member is self.members[rank] and int(token.split(":")[0]) in member.work:
-            member.fire(self.now, token)
+            member.fire_timer(self.now, token)
             self._carry_out(member, rank)
 
-    def _connect(self, member: Member, rank: int, sent: Sent) -> None:
+    def _connect(self, member: Member, rank: int, sent: DrivenAttempt) -> None:
         """Each send needs a new connection until one to this incarnation is up; that takes its time."""
-        target = self._running.get(sent.server)
+        target = self._running.get(sent.endpoint_id)
         if target is None:
             self._end_later(TURNED_AWAY, member, rank, sent, Outcome.CONNECT_FAILED)
             return
-        known = (target.server.id, target.server.started) in member.connected
-        wait = 0 if known else round(self._random.uniform(0, self.plan.settings.connect_time))
+        known = (target.server.id, target.server.started_at_us) in member.connected
+        wait = 0 if known else round(self._random.uniform(0, self.plan.settings.connect_timeout_us))
         told = member.version >= target.version
         self._later(wait, partial(self._arrive, member, rank, sent, target, told))
 
-    def _arrive(self, member: Member, rank: int, sent: Sent, target: Incarnation, told: bool) -> None:
+    def _arrive(
+        self, member: Member, rank: int, sent: DrivenAttempt, target: Incarnation, told: bool
+    ) -> None:
         if member is not self.members[rank] or sent.outcome is not None:
             return
         if not target.up:
             self._end_later(TURNED_AWAY, member, rank, sent, Outcome.CONNECT_FAILED)
             return
-        member.connected.add((target.server.id, target.server.started))
-        work = member.work[sent.request]
+        member.connected.add((target.server.id, target.server.started_at_us))
+        work = member.work[sent.request_id]
         target.arrivals.append(Arrival(self.now, work, rank, told))
         done = target.take(work, self.now)
         if done is None:
@@ -376,14 +374,16 @@
         else:
             self._later(done - self.now, partial(self._finish, member, rank, sent, target))
 
-    def _finish(self, member: Member, rank: int, sent: Sent, target: Incarnation) -> None:
+    def _finish(self, member: Member, rank: int, sent: DrivenAttempt, target: Incarnation) -> None:
         self._end(member, rank, sent, Outcome.OK if target.up else Outcome.RESET)
 
-    def _end_later(self, delay: int, member: Member, rank: int, sent: Sent, outcome: Outcome) -> None:
+    def _end_later(
+        self, delay: int, member: Member, rank: int, sent: DrivenAttempt, outcome: Outcome
+    ) -> None:
         self._later(delay, partial(self._end, member, rank, sent, outcome))
 
-    def _end(self, member: Member, rank: int, sent: Sent, outcome: Outcome) -> None:
+    def _end(self, member: Member, rank: int, sent: DrivenAttempt, outcome: Outcome) -> None:
         if member is self.members[rank] and sent.outcome is None:
-            member.now = self.now
-            member.end(sent, outcome)
+            member.now_us = self.now
+            member.end_attempt(sent, outcome)
             self._carry_out(member, rank)
--- a/tests/peers.py
+++ b/tests/support/loopback.py
@@ -12,71 +12,79 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from whinrouter.balance import Balancer
-from whinrouter.interface import MS, Effect, RequestClass, Server, Settings
-from whinrouter.net.discovery import HostList, Member, number
-from whinrouter.net.frontend import Frontend
-from whinrouter.net.gateway import Gateway
-from whinrouter.net.http import Message, RequestReader, ResponseReader, write_answer
-from whinrouter.net.upstream import Upstream
-
-READ = RequestClass("page-read", 400 * MS, 15_000 * MS, Effect.IDEMPOTENT, worth=3)
-BUY = RequestClass("chapter-buy", 400 * MS, 20_000 * MS, worth=8)
-SETTINGS = Settings((READ, BUY), max_attempts=5, may_hedge=True, may_cancel=True)
-GENEROUS = 30.0  # seconds that a condition may take on a slow machine
+from http_gateway.net.discovery.endpoint_list import EndpointEntry, EndpointList, endpoint_id
+from http_gateway.net.frontend.listener import Frontend
+from http_gateway.net.http.messages import Message
+from http_gateway.net.http.reader import RequestReader, ResponseReader
+from http_gateway.net.http.writer import write_response
+from http_gateway.net.request_dispatcher import RequestDispatcher
+from http_gateway.net.upstream.pool import UpstreamPool
+from http_gateway.policy.balancer import Balancer
+from http_gateway.policy.endpoint import Endpoint
+from http_gateway.policy.settings import Idempotency, RequestClass, Settings
+from http_gateway.policy.time_units import US_PER_MS
+
+READ = RequestClass(
+    "page-read", 400 * US_PER_MS, 15_000 * US_PER_MS, Idempotency.IDEMPOTENT, priority_weight=3
+)
+BUY = RequestClass("chapter-buy", 400 * US_PER_MS, 20_000 * US_PER_MS, priority_weight=8)
+SETTINGS = Settings((READ, BUY), max_attempts=5, hedging_allowed=True, cancellation_allowed=True)
+TEST_TIMEOUT_S = 30.0  # seconds that a condition may take on a slow machine
 
 _IDS = itertools.count()  # an id may be open once at a time
 
-Script = Callable[[Message, asyncio.StreamWriter], Awaitable[None]]
+PeerScript = Callable[[Message, asyncio.StreamWriter], Awaitable[None]]
 
 
-def scenario(test: Callable[..., Coroutine[Any, Any, None]]) -> Callable[..., None]:
+def async_test(test: Callable[..., Coroutine[Any, Any, None]]) -> Callable[..., None]:
     """Run an async test in a loop of its own, for a generous time at most."""
 
     @functools.wraps(test)
     def run(*args: object, **kwargs: object) -> None:
-        asyncio.run(asyncio.wait_for(test(*args, **kwargs), 2 * GENEROUS))
+        asyncio.run(asyncio.wait_for(test(*args, **kwargs), 2 * TEST_TIMEOUT_S))
 
     return run
 
 
-async def until(condition: Callable[[], object]) -> None:
-    async with asyncio.timeout(GENEROUS):
+async def wait_until(condition: Callable[[], object]) -> None:
+    async with asyncio.timeout(TEST_TIMEOUT_S):
         while not condition():
             await asyncio.sleep(0.005)
 
 
-def says(status: int = 200, body: bytes = b"page", **headers: str) -> Script:
+def respond_with(status: int = 200, body: bytes = b"page", **headers: str) -> PeerScript:
     """A host that answers so; an underscore in a header's name stands for a dash."""
     pairs = [(name.replace("_", "-").encode(), value.encode()) for name, value in headers.items()]
 
     async def script(request: Message, writer: asyncio.StreamWriter) -> None:
-        writer.write(write_answer(status, pairs, body, close=False))
+        writer.write(write_response(status, pairs, body, close=False))
 
     return script
 
 
-async def silent(request: Message, writer: asyncio.StreamWriter) -> None:
+async def never_respond(request: Message, writer: asyncio.StreamWriter) -> None:
     """Takes a request and never answers."""
 
 
-async def resets(request: Message, writer: asyncio.StreamWriter) -> None:
-    reset(writer)
+async def reset_connection(request: Message, writer: asyncio.StreamWriter) -> None:
+    abort_with_reset(writer)
 
 
-def reset(writer: asyncio.StreamWriter) -> None:
+def abort_with_reset(writer: asyncio.StreamWriter) -> None:
     writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     writer.transport.abort()
 
 
 @dataclass
-class Peer:
+class LoopbackPeer:
     """A server that hands each whole request to its script."""
 
-    script: Script
+    script: PeerScript
     name: str = "s-1"
     requests: list[Message] = field(default_factory=list)
-    askers: list[asyncio.StreamWriter] = field(default_factory=list)  # the connection of each request
+    request_writers: list[asyncio.StreamWriter] = field(
+        default_factory=list
+    )  # the connection of each request
     connections: int = 0
     closed: int = 0
     writers: list[asyncio.StreamWriter] = field(default_factory=list)
@@ -95,7 +103,7 @@
             while data := await reader.read(65536):
                 for request in parser.feed(data):
                     self.requests.append(request)
-                    self.askers.append(writer)
+                    self.request_writers.append(writer)
                     await self.script(request, writer)
         except ConnectionError:
             pass
@@ -109,10 +117,10 @@
         for writer in self.writers:
             writer.transport.abort()
 
-    def member(self, **fields: Any) -> Member:
-        return Member(Server(number(self.name), **fields), ("127.0.0.1", self.port))
+    def endpoint_entry(self, **fields: Any) -> EndpointEntry:
+        return EndpointEntry(Endpoint(endpoint_id(self.name), **fields), ("127.0.0.1", self.port))
 
-    def entry(self, phase: str = "Ready", **fields: Any) -> dict[str, Any]:
+    def list_entry(self, phase: str = "Ready", **fields: Any) -> dict[str, Any]:
         """This host in discovery's form."""
         return {
             "id": self.name,
@@ -128,8 +136,8 @@
 
 
 @asynccontextmanager
-async def peers(*scripts: Script) -> AsyncIterator[list[Peer]]:
-    started = [Peer(script, f"s-{place}") for place, script in enumerate(scripts)]
+async def start_peers(*scripts: PeerScript) -> AsyncIterator[list[LoopbackPeer]]:
+    started = [LoopbackPeer(script, f"s-{place}") for place, script in enumerate(scripts)]
     for peer in started:
         await peer.start()
     try:
@@ -139,7 +147,7 @@
             peer.stop()
 
 
-def request_text(
+def request_bytes(
     class_name: str = "page-read", headers: Mapping[str, str] | None = None, body: bytes = b""
 ) -> bytes:
     method = "GET" if class_name == "page-read" else "POST"
@@ -159,7 +167,7 @@
     return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
 
 
-class Client:
+class LoopbackClient:
     """One client connection."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -167,12 +175,12 @@
         self._parser = ResponseReader()
 
     @classmethod
-    async def connect(cls, port: int) -> Client:
+    async def connect(cls, port: int) -> LoopbackClient:
         return cls(*await asyncio.open_connection("127.0.0.1", port))
 
-    async def answer(self) -> Message:
+    async def response(self) -> Message:
         """The next answer; ConnectionError if the connection ends without one."""
-        async with asyncio.timeout(GENEROUS):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             while data := await self._reader.read(65536):
                 answers = self._parser.feed(data)
                 assert self._parser.error is None
@@ -181,26 +189,26 @@
                     return answers[0]
         raise ConnectionError("no answer")
 
-    async def ask(
+    async def request(
         self, class_name: str = "page-read", headers: Mapping[str, str] | None = None, body: bytes = b""
     ) -> Message:
-        self.writer.write(request_text(class_name, headers, body))
-        return await self.answer()
+        self.writer.write(request_bytes(class_name, headers, body))
+        return await self.response()
 
-    async def rest(self) -> bytes:
+    async def read_until_closed(self) -> bytes:
         """All that still comes, once the gateway has closed."""
-        async with asyncio.timeout(GENEROUS):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             return await self._reader.read()
 
     def close(self) -> None:
         self.writer.transport.abort()
 
 
-async def ask_and_never_read(client: Client, host: Peer) -> None:
+async def request_and_never_read(client: LoopbackClient, host: LoopbackPeer) -> None:
     """Ask until the gateway takes no more in."""
     client.writer.transport.pause_reading()  # type: ignore[attr-defined]
     for sent in range(1000):
-        client.writer.write(request_text())
+        client.writer.write(request_bytes())
         await asyncio.sleep(0.005)
         if sent > len(host.requests) + 12:
             return
@@ -208,45 +216,47 @@
 
 
 @dataclass
-class Running:
-    gateway: Gateway
-    upstream: Upstream
+class RunningGateway:
+    dispatcher: RequestDispatcher
+    pool: UpstreamPool
     frontend: Frontend
     balancer: Balancer
     port: int
 
-    async def client(self) -> Client:
-        return await Client.connect(self.port)
+    async def connect(self) -> LoopbackClient:
+        return await LoopbackClient.connect(self.port)
 
-    async def ask(self, class_name: str = "page-read", headers: Mapping[str, str] | None = None) -> Message:
-        client = await self.client()
+    async def request(
+        self, class_name: str = "page-read", headers: Mapping[str, str] | None = None
+    ) -> Message:
+        client = await self.connect()
         try:
-            return await client.ask(class_name, headers)
+            return await client.request(class_name, headers)
         finally:
             client.close()
 
 
 @asynccontextmanager
-async def running(
-    *members: Member,
+async def running_gateway(
+    *entries: EndpointEntry,
     settings: Settings = SETTINGS,
-    idle_time: float = 60.0,
-    limit: int = 100,
-    connect_time: float = 1.0,
-) -> AsyncIterator[Running]:
+    idle_timeout_s: float = 60.0,
+    max_connections: int = 100,
+    connect_timeout_s: float = 1.0,
+) -> AsyncIterator[RunningGateway]:
     """A gateway in this loop, on a free port, with these hosts on its list."""
-    upstream = Upstream(connect_time, idle_time, limit)
+    pool = UpstreamPool(connect_timeout_s, idle_timeout_s, max_connections)
     balancer = Balancer(settings, seed=1)
-    gateway = Gateway(balancer, upstream)
-    if members:
-        gateway.list_hosts(HostList(1, True, members))
-    frontend = Frontend(gateway, settings, limit)
+    dispatcher = RequestDispatcher(balancer, pool)
+    if entries:
+        dispatcher.update_endpoints(EndpointList(1, True, entries))
+    frontend = Frontend(dispatcher, settings, max_connections)
     port = await frontend.listen(frontend.bind("127.0.0.1", 0))
     try:
-        yield Running(gateway, upstream, frontend, balancer, port)
+        yield RunningGateway(dispatcher, pool, frontend, balancer, port)
     finally:
-        frontend.close()
+        frontend.stop_accepting()
 
 
-def listing(*members: Member, complete: bool = True, revision: int = 2) -> HostList:
-    return HostList(revision, complete, members)
+def endpoint_list(*entries: EndpointEntry, complete: bool = True, revision: int = 2) -> EndpointList:
+    return EndpointList(revision, complete, entries)
--- a/tests/test_readme.py
+++ b/tests/unit/test_readme.py
@@ -7,11 +7,11 @@
 
 import pytest
 
-README = Path(__file__).parent.parent / "README.md"
+README = Path(__file__).parents[2] / "README.md"
 
 
 def test_the_example_runs(capsys: pytest.CaptureFixture[str]) -> None:
     blocks = re.findall(r"```python\n(.*?)```", README.read_text(), re.DOTALL)
     assert len(blocks) == 1
     exec(compile(blocks[0], str(README), "exec"), {})
-    assert "Send(request=7" in capsys.readouterr().out
+    assert "StartAttempt(request_id=7" in capsys.readouterr().out
--- a/whinrouter/net/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""The gateway: real sockets round the decision module."""
