--- a/tests/integration/test_request_dispatcher.py
+++ b/tests/integration/test_request_dispatcher.py
@@ -34,6 +34,10 @@
 from tests.support.races import outcomes, record_events
 
 
+class InjectedFaultError(Exception):
+    """A fault that a test makes the policy raise."""
+
+
 @async_test
 async def test_a_host_s_answer_comes_back_unchanged() -> None:
     async with start_peers(respond_with(body=b"\x00page 4", Content_Type="image/png")) as (host,):
@@ -227,7 +231,7 @@
 
         def faulty(event: Event, now_us: int) -> list[Action]:
             if isinstance(event, RequestArrived) and event.key == "poison":
-                raise RuntimeError("a fault of this test")
+                raise InjectedFaultError("a fault of this test")
             return handle(event, now_us)
 
         gateway.balancer.handle = faulty  # type: ignore[method-assign]
@@ -243,7 +247,7 @@
 
         def faulty(event: Event, now_us: int) -> list[Action]:
             if isinstance(event, AttemptEnded):
-                raise RuntimeError("a fault of this test")
+                raise InjectedFaultError("a fault of this test")
             return handle(event, now_us)
 
         gateway.balancer.handle = faulty  # type: ignore[method-assign]
