--- a/http_gateway/policy/endpoint_selection.py
+++ b/http_gateway/policy/endpoint_selection.py
@@ -40,14 +40,19 @@
         A fallback that still admits the request is chosen without a new draw. None if no endpoint admits it.
         """
         tried = {attempt.endpoint.id for attempt in pending.attempts}
+        cost_us = self._latency.cost_us(pending)
         fallback = None if pending.fallback_id is None else self._endpoints.get(pending.fallback_id)
-        if fallback is not None and fallback.id not in tried and self._admits(fallback, pending, now_us):
+        if (
+            fallback is not None
+            and fallback.id not in tried
+            and self._admits(fallback, pending, cost_us, now_us)
+        ):
             return fallback
         drawn: list[TrackedEndpoint] = []
         for tracked in self._candidates(pending.request.key):
             if tracked in drawn or tracked.endpoint.id in tried:
                 continue
-            if self._admits(tracked, pending, now_us):
+            if self._admits(tracked, pending, cost_us, now_us):
                 drawn.append(tracked)
                 if len(drawn) == CHOICES:
                     break
@@ -78,9 +83,9 @@
             endpoints[place], endpoints[other] = endpoints[other], endpoints[place]
             yield endpoints[place]
 
-    def _admits(self, tracked: TrackedEndpoint, pending: PendingRequest, now_us: int) -> bool:
+    def _admits(self, tracked: TrackedEndpoint, pending: PendingRequest, cost_us: float, now_us: int) -> bool:
         if not tracked.admits(pending.request_class, now_us):
             return False
-        if not may_retry_on(tracked.endpoint, pending, self._endpoints.listed):
+        if pending.attempts and not may_retry_on(tracked.endpoint, pending, self._endpoints.listed):
             return False
-        return self._slow_start.admits(tracked, self._latency.cost_us(pending), now_us)
+        return self._slow_start.admits(tracked, cost_us, now_us)
--- a/http_gateway/policy/subsetting.py
+++ b/http_gateway/policy/subsetting.py
@@ -22,7 +22,7 @@
 class Subset:
     """The endpoints of a gateway."""
 
-    members: list[TrackedEndpoint]  # those it keeps to
+    members: list[TrackedEndpoint]  # those it keeps to; endpoint selection shuffles them in place
     fallbacks: list[TrackedEndpoint]  # all others, in the order in which they are tried
     slice_count: int  # one gateway in so many keeps to an endpoint
 
