--- a/http_gateway/policy/balancer.py
+++ b/http_gateway/policy/balancer.py
@@ -116,7 +116,7 @@
         actions = self._attempt(pending, now_us)
         if actions or pending.has_attempt_in_flight:
             return actions
-        # Failed attempts tell of their endpoints; that none had capacity, or all rejected it, tells of load.
+        # Failed attempts are a sign of bad endpoints; rejections, or no endpoint with capacity, of overload.
         if all(attempt.outcome is Outcome.REJECTED for attempt in pending.attempts):
             self._shedder.record_signal(in_time=False, now_us=now_us)
         return self._answer(pending, now_us)
@@ -191,7 +191,7 @@
         return self._attempt_or_answer(pending, now_us)
 
     def _on_response_stream(self, event: ResponseStreamStarted, now_us: int) -> list[Action]:
-        """From now on the attempt is the client's; how long its stream lasts tells nothing."""
+        """Hand the attempt over to the client; the duration of its stream is not measured."""
         pending, attempt = self._find(event.request_id, event.attempt_number)
         if pending is None or attempt is None:
             return []
@@ -225,7 +225,7 @@
             return pending, None
         return pending, pending.attempts[attempt_number]
 
-    # What attempts tell
+    # Learning from attempts that have ended
 
     def _learn(
         self, tracked: TrackedEndpoint, pending: PendingRequest, attempt: Attempt, now_us: int
@@ -251,9 +251,9 @@
         self._slow_start.record_response(tracked, attempt.reserved_cost_us, cost_us, now_us)
 
     def _signal_load(self, pending: PendingRequest, attempt: Attempt, now_us: int) -> None:
-        """Tell load shedding whether the attempt was in time.
+        """Signal to load shedding whether the attempt was in time.
 
-        One that was cancelled before it was late, as when its client leaves, tells nothing of the load.
+        One that was cancelled before it was late, as when its client disconnects, is no sign of load.
         """
         is_late = now_us - attempt.started_at_us > _in_time_us(pending.request_class)
         if attempt.outcome is Outcome.OK:
--- a/http_gateway/policy/events.py
+++ b/http_gateway/policy/events.py
@@ -1,4 +1,4 @@
-"""Events that the host program feeds to the policy. Times are whole microseconds."""
+"""Events that the caller feeds to the policy. Times are whole microseconds."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class ListUpdateKind(Enum):
-    """What an `EndpointListUpdate` holds."""
+    """What an `EndpointListUpdate` contains."""
 
     COMPLETE = "complete"  # every endpoint there is
     CACHED = "cached"  # every endpoint this gateway knew before it restarted
@@ -82,7 +82,7 @@
 
 
 class RequestAbandoned(NamedTuple):
-    """The client has left: no answer is needed any more."""
+    """The client has disconnected, or gets its answer elsewhere: none is needed any more."""
 
     request_id: RequestId
 
--- a/http_gateway/policy/load_shedding.py
+++ b/http_gateway/policy/load_shedding.py
@@ -73,7 +73,7 @@
             self._admitted_fraction *= 1 - weight
 
     def _is_excess(self, traffic_class: TrafficClass, now_us: int) -> bool:
-        """Whether to shed a request under overload; never all of them, as only responses tell its end."""
+        """Whether to shed a request under overload; never all of them, as only responses show its end."""
         overloaded = self._admitted_fraction < 1 and now_us < self._admitted_at_us + MAX_SIGNAL_AGE_US
         if overloaded and self._random.random() >= self._admission_probability(traffic_class):
             return True
@@ -85,7 +85,7 @@
         name = request_class.name
         if not request.is_client_retry:
             self._longest_timeout_us[name] = max(request.timeout_us, self._longest_timeout_us.get(name, 0))
-        # Only a retry that the deadline has cut short tells how much time is gone.
+        # Only the timeout of a retry that the deadline has cut short shows how much time is gone.
         is_cut_short = request.is_client_retry and request.timeout_us < self._longest_timeout_us.get(name, 0)
         elapsed_us = request_class.timeout_us - request.timeout_us
         return (
--- a/http_gateway/policy/outlier_detection.py
+++ b/http_gateway/policy/outlier_detection.py
@@ -19,7 +19,7 @@
 FAILURES = frozenset(
     {Outcome.ERROR, Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.RESET, Outcome.UNKNOWN}
 )
-# Connections that fail tell of the endpoint, or of the way to it, and not of the request class.
+# Failed connections are a fault of the endpoint or the network, not of the request class.
 CLASS_FAILURES = frozenset({Outcome.ERROR, Outcome.REJECTED, Outcome.UNKNOWN})
 _UNANSWERED = frozenset({None, Outcome.TIMEOUT, Outcome.CANCELLED})  # in flight, or given up while it was
 
@@ -70,7 +70,7 @@
     ) -> bool:
         """Whether the endpoint left an attempt unanswered and answered none of its class meanwhile.
 
-        Clients that leave early must not hide that: each of them makes a silent endpoint look idle.
+        Clients that disconnect early must not hide that: each of them makes a silent endpoint look idle.
         """
         if attempt.outcome not in _UNANSWERED:
             return False
--- a/http_gateway/policy/retry_budget.py
+++ b/http_gateway/policy/retry_budget.py
@@ -15,7 +15,7 @@
 
     @property
     def has_token(self) -> bool:
-        """Whether it holds a whole token."""
+        """Whether it has a whole token."""
         return self._tokens >= 1
 
     def deposit(self) -> None:
--- a/http_gateway/policy/retry_policy.py
+++ b/http_gateway/policy/retry_policy.py
@@ -55,7 +55,7 @@
 
 
 def may_shed(pending: PendingRequest, now_us: int) -> bool:
-    """Whether a client may be told that a retry does no harm, wherever and whenever it retries."""
+    """Whether a retry by the client does no harm, whenever it comes and whichever gateway gets it."""
     deadline_us = retry_deadline_us(pending)
     if deadline_us is None:
         return True
--- a/http_gateway/policy/settings.py
+++ b/http_gateway/policy/settings.py
@@ -73,7 +73,7 @@
     hedging_allowed: bool = False  # a second attempt may start while the first is in flight
     cancellation_allowed: bool = False
     health_checks_allowed: bool = False
-    retry_after_allowed: bool = False  # clients are told when to come back
+    retry_after_allowed: bool = False  # shed requests may carry Retry-After
     max_retry_after_us: int = 0
     discovery_is_polled: bool = False  # discovery sends changes only when requested to
     drain_grace_us: int = 0  # attempts at a draining endpoint are tolerated for this long after notification
@@ -85,7 +85,7 @@
     overload_factor: float = 4.0  # sent more than this multiple of its present capacity
     overload_window_us: int = US_PER_S  # for this long, an endpoint that is warming up falls over
     connect_timeout_us: int = US_PER_S // 4
-    weights_are_capacities: bool = False  # endpoint weights tell how much they can do
+    weights_are_capacities: bool = False  # the weight of an endpoint is its capacity
     cross_zone_cost: float = 0.0
     health_check_cost: float = 0.0
     tenant_quotas_per_s: Mapping[str, float] = field(default_factory=dict)  # at this gateway, in requests
--- a/http_gateway/policy/slow_start.py
+++ b/http_gateway/policy/slow_start.py
@@ -9,8 +9,8 @@
 1. Refill, at a ratio R of the gateway's part of N. What an endpoint can do is estimated by what the warm
    endpoints of its machine type do. Each gateway divides the work that they did for it by their number; over
    all gateways that adds up to what the mean warm endpoint takes, however the work was spread over the warm
-   ones. The part of it for one endpoint that is warming up goes by the work that would be meant for it if all
-   were warm, in relation to the others of its machine type: over the endpoints of a type these parts have a
+   ones. The part of it for one endpoint that is warming up is proportional to the work that would be meant for it if
+   all were warm, in relation to the others of its machine type: over the endpoints of a type these parts have a
    mean of 1, wherever the warm ones may be. With subsets, only the gateways that keep to an endpoint refill
    its bucket, and each stands for as many as there are slices.
 2. Credit: a ratio A of the cost of what the endpoint answered is given back. That follows what it can really
@@ -47,8 +47,8 @@
 MAX_CREDIT_PART = 0.625  # of N, for what an endpoint has answered
 # The following are in overload windows.
 MAX_SAVED_WINDOWS = 0.5  # of refill that a bucket holds at most
-# Of refill that a new bucket holds. All gateways meet an endpoint at about the same time, and what they send
-# then arrives together.
+# Of refill that a new bucket holds. All gateways learn of an endpoint at about the same time, and what they
+# send then arrives together.
 INITIAL_SAVED_WINDOWS = 0.25
 CREDIT_DECAY_WINDOWS = 0.25  # time constant with which credit decays
 MAX_CAPACITY = 1e6  # a listed capacity above this, or below its inverse, is wrong
@@ -123,10 +123,10 @@
         return WarmUpBucket(now_us - round(INITIAL_SAVED_WINDOWS * self._settings.overload_window_us))
 
     def admits(self, tracked: TrackedEndpoint, cost_us: float, now_us: int) -> bool:
-        """Whether an endpoint is warm, or its bucket holds the cost of a request.
+        """Whether an endpoint is warm, or its bucket covers the cost of a request.
 
-        A bucket that holds a part of the cost admits the request with that probability, and is empty if it
-        does not. Saved up to whole requests by each of many gateways, the parts would all be spent at once.
+        A bucket that covers a part of the cost admits the request with that probability, and is emptied if
+        it does not. Saved up to whole requests by each of many gateways, the parts would all be spent at once.
         """
         if self.capacity_fraction(tracked.endpoint, now_us) == 1:
             return True
@@ -172,7 +172,7 @@
         return minimum + self._refill_ratio * multiple * warm_rate
 
     def _capacity(self, endpoint: Endpoint) -> float:
-        """Relative to other endpoints; 1 where the list does not tell it, or tells nonsense."""
+        """Relative to other endpoints; 1 where the list has none, or an impossible one."""
         weight = endpoint.weight
         if self._settings.weights_are_capacities and 1 / MAX_CAPACITY <= weight <= MAX_CAPACITY:
             return weight
--- a/http_gateway/policy/token_bucket.py
+++ b/http_gateway/policy/token_bucket.py
@@ -17,7 +17,7 @@
 
     @property
     def tokens(self) -> float:
-        """What it holds, as of the last `refill` and `decay`."""
+        """The tokens in it, as of the last `refill` and `decay`."""
         return self.refilled + self.credit
 
     def refill(self, rate: float, capacity: float, now_us: int) -> None:
@@ -35,7 +35,7 @@
         self.credit += amount
 
     def take(self, cost: float) -> None:
-        """Take a cost out, of the credit first; the bucket may have held less."""
+        """Take a cost out, of the credit first; the bucket may have less."""
         from_credit = min(cost, self.credit)
         self.credit -= from_credit
         self.refilled = max(0.0, self.refilled - cost + from_credit)
