--- a/http_gateway/policy/slow_start.py
+++ b/http_gateway/policy/slow_start.py
@@ -9,10 +9,10 @@
 1. Refill, at a ratio R of the gateway's part of N. What an endpoint can do is estimated by what the warm
    endpoints of its machine type do. Each gateway divides the work that they did for it by their number; over
    all gateways that adds up to what the mean warm endpoint takes, however the work was spread over the warm
-   ones. The part of it for one endpoint that is warming up is proportional to the work that would be meant for it if
-   all were warm, in relation to the others of its machine type: over the endpoints of a type these parts have a
-   mean of 1, wherever the warm ones may be. With subsets, only the gateways that keep to an endpoint refill
-   its bucket, and each stands for as many as there are slices.
+   ones. The part of it for one endpoint that is warming up is proportional to the work that would be meant
+   for it if all were warm, in relation to the others of its machine type: over the endpoints of a type these
+   parts have a mean of 1, wherever the warm ones may be. With subsets, only the gateways that keep to an
+   endpoint refill its bucket, and each stands for as many as there are slices.
 2. Credit: a ratio A of the cost of what the endpoint answered is given back. That follows what it can really
    do, which the estimate cannot know: it may be warmer than the least that the settings promise.
 
@@ -126,7 +126,7 @@
         """Whether an endpoint is warm, or its bucket covers the cost of a request.
 
         A bucket that covers a part of the cost admits the request with that probability, and is emptied if
-        it does not. Saved up to whole requests by each of many gateways, the parts would all be spent at once.
+        it does not. If each of many gateways saved the parts up to whole requests, all would send at once.
         """
         if self.capacity_fraction(tracked.endpoint, now_us) == 1:
             return True
