--- a/http_gateway/net/http/reader.py
+++ b/http_gateway/net/http/reader.py
@@ -1,4 +1,4 @@
-"""Reads HTTP/1.1 messages out of the bytes of one connection, with limits on their size."""
+"""Reads HTTP/1.1 messages from the bytes of one connection, with limits on their size."""
 
 from __future__ import annotations
 
@@ -9,22 +9,30 @@
 from http_gateway.net.http.messages import MalformedMessageError, Message
 
 MAX_BODY_BYTES = 64 * 1024
-MAX_HEAD_BYTES = 16 * 1024  # more than any browser sends; a head without an end is noticed early
-MAX_MESSAGE_BYTES = 2 * MAX_BODY_BYTES  # with head and framing
+MAX_HEAD_BYTES = 16 * 1024  # start line and headers; more than any browser sends
+MAX_MESSAGE_BYTES = 2 * MAX_BODY_BYTES  # head, body and framing
 MAX_CONTENT_LENGTH_DIGITS = 9
 
 _FRAMING_HEADERS = (b"content-length", b"transfer-encoding")
 
 
 class MessageReader:
-    """Takes the bytes of one connection and returns complete messages."""
+    """Reads the bytes of one connection and returns complete messages.
+
+    Attributes:
+        expects_continue: Whether the peer waits for a 100 (Continue) before it sends the body.
+        has_partial_message: Whether a message has begun and is not complete.
+        message_count: How many messages have begun.
+        buffered_bytes: Bytes received since the last complete message.
+        error: What is wrong with the bytes after the complete messages; None if nothing is.
+    """
 
     def __init__(self) -> None:
-        self.expects_continue = False  # the peer waits for a 100 before it sends the body
+        self.expects_continue = False
         self.has_partial_message = False
-        self.message_count = 0  # messages that have begun
-        self.buffered_bytes = 0  # since the last complete message, at most
-        self.error: MalformedMessageError | None = None  # what is wrong behind the complete messages
+        self.message_count = 0
+        self.buffered_bytes = 0
+        self.error: MalformedMessageError | None = None
         self._complete: list[Message] = []
         self._message = Message()
         self._body = bytearray()
@@ -33,9 +41,9 @@
         self._parser: httptools.HttpRequestParser | httptools.HttpResponseParser
 
     def feed(self, data: bytes | memoryview) -> list[Message]:
-        """Take received bytes; return the messages that are complete now.
+        """Read received bytes; return the messages that are complete with them.
 
-        After an `error` nothing may be fed any more.
+        Nothing may be fed after an `error`.
         """
         self._complete = []
         self.buffered_bytes += len(data)
@@ -54,16 +62,21 @@
             self.error = MalformedMessageError(HTTPStatus.BAD_REQUEST, f"malformed HTTP: {error}")
         return self._complete
 
+    def take_continue_expectation(self) -> bool:
+        """Whether the peer waits for a 100 (Continue); true only once for each message."""
+        expects_continue, self.expects_continue = self.expects_continue, False
+        return expects_continue
+
     def discard(self) -> None:
-        """Drop the message that is incomplete; nothing may be fed any more."""
+        """Drop the incomplete message; nothing may be fed after this."""
         self._message, self._body, self.buffered_bytes = Message(), bytearray(), 0
 
     def close(self) -> None:
-        """Release the parser, which refers back to this reader; else the cycle waits for a collection."""
+        """Release the parser, whose reference to this reader would be a cycle for the garbage collector."""
         del self._parser
 
     def _check_size(self) -> None:
-        # The parser holds a line back until it is complete, so only the bytes fed tell of one without an end.
+        # The parser reports only complete lines, so the bytes fed are what shows a line without an end.
         if self._in_head and self.buffered_bytes > MAX_HEAD_BYTES:
             raise _head_too_large()
         if self.buffered_bytes > MAX_MESSAGE_BYTES:
@@ -80,12 +93,12 @@
         self._body = bytearray()
 
     def on_url(self, url: bytes) -> None:
-        """Take a part of the request target."""
+        """Add a part of the request target."""
         self._message.target += url
         self._head_bytes += len(url)
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take a header; trailers are dropped, since the message was judged without them."""
+        """Add a header; trailers are dropped, since the framing was checked without them."""
         self._head_bytes += len(name) + len(value)
         if self._head_bytes > MAX_HEAD_BYTES:
             raise _head_too_large()
@@ -99,13 +112,13 @@
         self.expects_continue = (self._message.header(b"expect") or "").lower() == "100-continue"
 
     def on_body(self, data: bytes) -> None:
-        """Take a part of the body."""
+        """Add a part of the body."""
         self._body += data
         if len(self._body) > MAX_BODY_BYTES:
             raise _body_too_large()
 
     def on_message_complete(self) -> None:
-        """Hand out a complete message."""
+        """Finish a message."""
         self._message.body = bytes(self._body)
         self._message.keep_alive = self._parser.should_keep_alive()
         self.expects_continue = False
@@ -114,12 +127,12 @@
         self._complete.append(self._message)
 
     def _check_framing(self) -> None:
-        """Accept only framing that every peer reads alike, or another message could hide in the body."""
+        """Accept only framing that every peer reads alike; else the body could smuggle a request."""
         framing = [
             (name, value.strip().lower()) for name, value in self._message.headers if name in _FRAMING_HEADERS
         ]
         if self._parser.get_http_version() not in ("1.0", "1.1"):
-            raise MalformedMessageError(HTTPStatus.HTTP_VERSION_NOT_SUPPORTED, "this is not HTTP/1")
+            raise MalformedMessageError(HTTPStatus.HTTP_VERSION_NOT_SUPPORTED, "the version is not HTTP/1")
         if not framing:
             return
         (name, value), *others = framing
@@ -140,7 +153,7 @@
         self._parser: httptools.HttpRequestParser = httptools.HttpRequestParser(self)
 
     def on_message_complete(self) -> None:
-        """Hand out a complete request."""
+        """Finish a request."""
         self._message.method = self._parser.get_method()
         super().on_message_complete()
 
@@ -153,7 +166,7 @@
         self._parser: httptools.HttpResponseParser = httptools.HttpResponseParser(self)
 
     def on_message_complete(self) -> None:
-        """Hand out a complete response; interim responses (1xx) are dropped."""
+        """Finish a response; interim responses (1xx) are dropped."""
         self._message.status = self._parser.get_status_code()
         if self._message.status >= HTTPStatus.OK:
             super().on_message_complete()
--- a/http_gateway/net/http/shared_buffer.py
+++ b/http_gateway/net/http/shared_buffer.py
@@ -1,24 +1,25 @@
-"""The receiving end of a connection, on one buffer for all connections."""
+"""An asyncio protocol that receives into one buffer for all connections."""
 
 from __future__ import annotations
 
 import asyncio
 
-# One for all reads, as each is used up before the next; asyncio would allocate 256 KiB for each of them.
-_BUFFER = memoryview(bytearray(64 * 1024))
+# Each read is handled before the next one, so one buffer is enough; asyncio would allocate 256 KiB a read.
+_BUFFER_BYTES = 64 * 1024
+_BUFFER = memoryview(bytearray(_BUFFER_BYTES))
 
 
 class SharedBufferProtocol(asyncio.BufferedProtocol):
-    """A protocol whose received bytes are valid only during the call that hands them over."""
+    """A protocol whose received bytes are valid only during the call of `on_data`."""
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        """The buffer for the next read."""
+        """Return the buffer for the next read."""
         return _BUFFER
 
     def buffer_updated(self, nbytes: int) -> None:
-        """Hand over what was read."""
+        """Pass the bytes that were read to `on_data`."""
         self.on_data(_BUFFER[:nbytes])
 
     def on_data(self, data: memoryview) -> None:
-        """Take received bytes, which have to be copied to be kept."""
+        """Handle received bytes, which have to be copied to be kept."""
         raise NotImplementedError
--- a/http_gateway/net/http/writer.py
+++ b/http_gateway/net/http/writer.py
@@ -1,4 +1,4 @@
-"""Writes HTTP/1.1 messages, without the headers that concern one connection only."""
+"""Writes HTTP/1.1 messages, without the hop-by-hop headers."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from http_gateway.net.http.messages import Headers, Message
 
-# Headers of one connection and not of the message (RFC 9110, 7.6.1), and those that are written anew.
+# Hop-by-hop headers (RFC 9110, 7.6.1), and those that the gateway sets itself.
 _NOT_FORWARDED = frozenset(
     (
         b"connection",
@@ -21,12 +21,12 @@
         b"x-deadline",
     )
 )
-# A client could otherwise remove them by naming them in `Connection`.
+# Even if a client names them in `Connection`.
 _ALWAYS_FORWARDED = frozenset((b"x-request-id", b"idempotency-key"))
 
 
 def write_request(message: Message, extra_headers: Headers) -> bytes:
-    """A client's request as it is forwarded to an endpoint."""
+    """Return a client's request as it is forwarded to an endpoint."""
     headers = _forwarded_headers(message.headers) + extra_headers
     if message.body or message.method != b"GET":
         headers.append((b"content-length", b"%d" % len(message.body)))
@@ -34,7 +34,7 @@
 
 
 def write_response(status: int, headers: Headers, body: bytes, close: bool) -> bytes:
-    """A response to a client; `close` announces the end of its connection."""
+    """Return a response to a client; `close` announces that the connection is closed after it."""
     framing = [(b"content-length", b"%d" % len(body))]
     if close:
         framing.append((b"connection", b"close"))
--- a/tests/support/races.py
+++ b/tests/support/races.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from http_gateway.net.frontend.listener import ClientConnection
+from http_gateway.net.frontend.client_connection import ClientConnection
 from http_gateway.net.upstream import pool
 from http_gateway.policy.actions import Action
 from http_gateway.policy.events import AttemptEnded, Event, Outcome
@@ -25,14 +25,14 @@
 
 
 def connect(gateway: RunningGateway, text: bytes = b"") -> socket.socket:
-    """A client outside the loop: what it does has happened before the gateway can take a turn."""
+    """Connect a blocking client, whose writes are done before the gateway's event loop runs again."""
     client = socket.create_connection(("127.0.0.1", gateway.port))
     client.sendall(text)
     return client
 
 
 async def answers(client: socket.socket) -> bytes:
-    """All that comes until the gateway closes; a reset counts as its end."""
+    """Read all responses until the gateway closes; a reset counts as the end."""
     client.setblocking(False)
     text, loop = b"", asyncio.get_running_loop()
     try:
@@ -44,33 +44,53 @@
     return text
 
 
-async def only(gateway: RunningGateway) -> ClientConnection:
-    """The gateway's end of the only client's connection."""
+async def only_connection(gateway: RunningGateway) -> ClientConnection:
+    """Wait for the gateway's end of its only client connection."""
     await wait_until(lambda: len(gateway.frontend.connections) == 1)
     (connection,) = gateway.frontend.connections
     return connection
 
 
-async def ask_until(
+async def connection_with_partial_request(gateway: RunningGateway) -> ClientConnection:
+    """Wait for a client connection on which a request has begun and is not complete."""
+    connections = gateway.frontend.connections
+    await wait_until(lambda: any(other.requests.has_partial_request for other in connections))
+    return next(other for other in connections if other.requests.has_partial_request)
+
+
+async def request_until(
     condition: Callable[[], object], client: LoopbackClient, connection: ClientConnection
 ) -> None:
-    """Ask again and again: each request has its answer, read or not, before the next."""
-    while not condition():
-        count = connection._requests.message_count
+    """Send requests until the condition is true; each one has its response, read or not, before the next."""
+
+    async def request() -> None:
+        count = connection.requests.begun_count
         client.writer.write(request_bytes())
-        await wait_until(lambda: connection._requests.message_count > count and not connection._busy)  # noqa: B023
+        await wait_until(
+            lambda: connection.requests.begun_count > count and not connection.in_flight.is_active
+        )
+
+    while not condition():
+        await request()
+
+
+async def pause_reading_until_unread(connection: ClientConnection, send: Callable[[], object]) -> None:
+    """Stop reading the connection, send something on it and wait until it has arrived unread."""
+    connection.transport.stream.pause_reading()
+    send()
+    await wait_until(lambda: connection.has_unread_bytes)
 
 
-async def settled(gateway: RunningGateway, host: LoopbackPeer) -> None:
-    """One connection to the host stands idle, and may be used."""
+async def wait_for_idle_connection(gateway: RunningGateway, peer: LoopbackPeer) -> None:
+    """Send a request, and wait until its connection to the endpoint is idle and may be used again."""
     assert (await gateway.request()).status == 200
-    (idle,) = gateway.pool.idle_connections(host.endpoint_entry().endpoint.id)
+    (idle,) = gateway.pool.idle_connections(peer.endpoint_entry().endpoint.id)
     await wait_until(lambda: asyncio.get_running_loop().time() - idle.idle_since > pool.SETTLE_TIME)
     await wait_until(lambda: not gateway.frontend.connections)
 
 
 def after_connecting(monkeypatch: pytest.MonkeyPatch, then: Callable[[], object]) -> None:
-    """Do something once a connection to a host is up, and before whoever waits for it has its turn."""
+    """Call `then` once a connection to an endpoint is up, before the code that waits for it runs."""
     loop = asyncio.get_running_loop()
     create_connection = loop.create_connection
 
@@ -83,7 +103,7 @@
 
 
 def record_events(gateway: RunningGateway) -> list[Event]:
-    """What the module is told from now on."""
+    """Return a list to which every event that the policy handles from now on is added."""
     events: list[Event] = []
     handle = gateway.balancer.handle
 
@@ -96,4 +116,5 @@
 
 
 def outcomes(events: list[Event]) -> list[Outcome]:
+    """Return the outcomes of the attempts that have ended."""
     return [event.outcome for event in events if isinstance(event, AttemptEnded)]
--- /dev/null
+++ b/tests/unit/net/test_http_reader.py
@@ -0,0 +1,71 @@
+"""Reading HTTP/1.1 messages from bytes that arrive in any portions."""
+
+from __future__ import annotations
+
+from http_gateway.net.http.reader import (
+    MAX_BODY_BYTES,
+    MAX_HEAD_BYTES,
+    RequestReader,
+    ResponseReader,
+)
+
+REQUEST = b"POST /a?b=1 HTTP/1.1\r\nHost: a\r\nX-One: 1\r\nContent-Length: 4\r\n\r\nbody"
+
+
+def test_request_may_arrive_byte_by_byte() -> None:
+    reader = RequestReader()
+    messages = [message for byte in REQUEST for message in reader.feed(bytes([byte]))]
+    (message,) = messages
+    assert (message.method, message.target, message.body) == (b"POST", b"/a?b=1", b"body")
+    assert message.headers == [(b"host", b"a"), (b"x-one", b"1"), (b"content-length", b"4")]
+    assert message.keep_alive
+    assert (reader.has_partial_message, reader.buffered_bytes, reader.message_count) == (False, 0, 1)
+
+
+def test_partial_request_after_a_complete_one_is_counted() -> None:
+    reader = RequestReader()
+    assert len(reader.feed(REQUEST + REQUEST[:10])) == 1
+    assert (reader.has_partial_message, reader.message_count) == (True, 2)
+    assert len(reader.feed(REQUEST[10:])) == 1
+    assert (reader.has_partial_message, reader.message_count) == (False, 2)
+
+
+def test_requests_before_malformed_bytes_are_returned() -> None:
+    reader = RequestReader()
+    assert len(reader.feed(REQUEST + b"\x00")) == 1
+    assert reader.error is not None
+    assert reader.error.status == 400
+
+
+def test_body_may_be_as_large_as_the_limit() -> None:
+    head = b"POST /a HTTP/1.1\r\nContent-Length: %d\r\n\r\n"
+    (message,) = RequestReader().feed(head % MAX_BODY_BYTES + bytes(MAX_BODY_BYTES))
+    assert len(message.body) == MAX_BODY_BYTES
+    reader = RequestReader()
+    reader.feed(head % (MAX_BODY_BYTES + 1))
+    assert reader.error is not None
+    assert reader.error.status == 413
+
+
+def test_head_without_an_end_is_rejected_at_the_limit() -> None:
+    reader = RequestReader()
+    head = b"GET /a HTTP/1.1\r\nX-Long: "
+    reader.feed(head + b"a" * (MAX_HEAD_BYTES - len(head)))
+    assert reader.error is None
+    reader.feed(b"a")
+    assert reader.error is not None
+    assert reader.error.status == 431
+
+
+def test_continue_expectation_is_taken_once() -> None:
+    reader = RequestReader()
+    reader.feed(b"POST /a HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 4\r\n\r\n")
+    assert reader.expects_continue
+    assert [reader.take_continue_expectation() for _ in range(2)] == [True, False]
+
+
+def test_interim_response_is_dropped() -> None:
+    reader = ResponseReader()
+    text = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\npage"
+    (message,) = reader.feed(text)
+    assert (message.status, message.body) == (200, b"page")
