--- a/http_gateway/net/frontend/connection_limits.py
+++ b/http_gateway/net/frontend/connection_limits.py
@@ -133,7 +133,7 @@
         self._timeouts_at_s.move_to_end(connection)
 
     def _evict_waiting_connection(self) -> None:
-        """Drop a connection with no request in flight; one with unread bytes, maybe a request, goes last."""
+        """Drop a connection with no request in flight; one with unread bytes, maybe a request, is last."""
         oldest = next(iter(self._timeouts_at_s))
         candidates = (connection for connection in self._timeouts_at_s if not connection.has_unread_bytes)
         next(candidates, oldest).drop()
--- a/tests/integration/test_client_races.py
+++ b/tests/integration/test_client_races.py
@@ -127,7 +127,7 @@
 
 
 @async_test
-async def test_request_in_flight_is_cancelled_though_its_client_left_responses_unread() -> None:
+async def test_request_in_flight_is_cancelled_at_disconnect_despite_unread_responses() -> None:
     async with (
         start_peers(respond_with(body=bytes(60_000))) as (endpoint,),
         running_gateway(endpoint.endpoint_entry()) as gateway,
@@ -148,7 +148,7 @@
 
 
 @async_test
-async def test_connection_of_a_disconnected_client_ends_though_responses_are_unread() -> None:
+async def test_connection_of_a_disconnected_client_ends_despite_unread_responses() -> None:
     async with (
         start_peers(respond_with(body=bytes(60_000))) as (endpoint,),
         running_gateway(endpoint.endpoint_entry()) as gateway,
