--- a/http_gateway/net/frontend/listener.py
+++ b/http_gateway/net/frontend/listener.py
@@ -64,7 +64,7 @@
         return self._state.shutdown.has_begun
 
     @property
-    def ends(self) -> float:
+    def shutdown_deadline_at_s(self) -> float:
         """The loop time by which every request has to be answered; infinity before the shutdown."""
         return self._state.shutdown.deadline_at_s
 
--- a/http_gateway/service.py
+++ b/http_gateway/service.py
@@ -131,7 +131,7 @@
 async def _until_answered(frontend: Frontend) -> None:
     """Each connection closes with its answer; one who doesn't read must not hold up the exit."""
     try:
-        async with asyncio.timeout_at(frontend.ends):
+        async with asyncio.timeout_at(frontend.shutdown_deadline_at_s):
             while frontend.connections:
                 await asyncio.sleep(0.01)
     except TimeoutError:
