--- a/tests/support/policy_driver.py
+++ b/tests/support/policy_driver.py
@@ -1,9 +1,11 @@
-"""A small driver: feeds a balancer events, numbers attempts as a host program would, checks the rules."""
+"""Drives one policy in place of its host program, and asserts the policy rules at every action."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
+from enum import Enum
+from typing import NamedTuple
 
 from http_gateway.policy.actions import (
     Action,
@@ -25,12 +27,15 @@
     Outcome,
     RequestAbandoned,
     RequestArrived,
+    RequestId,
     ResponseStreamStarted,
     TimerFired,
 )
 from http_gateway.policy.settings import DeduplicationScope, Idempotency, RequestClass, Settings
 from http_gateway.policy.time_units import US_PER_MS, US_PER_S
 
+DEFAULT_TIMEOUT_US = 400 * US_PER_MS  # of a request
+
 READ = RequestClass("read", 150 * US_PER_MS, 500 * US_PER_MS, Idempotency.IDEMPOTENT)
 BUY = RequestClass("buy", 150 * US_PER_MS, 500 * US_PER_MS, Idempotency.AT_MOST_ONCE)
 KEYED_CLASSES = {
@@ -47,17 +52,47 @@
 CLASSES = (READ, BUY, *KEYED_CLASSES.values())
 
 
-def endpoints(count: int, **fields: object) -> tuple[Endpoint, ...]:
-    """So many ready servers, in two zones and cells of two."""
+def endpoints(count: int, started_at_us: int = 0) -> tuple[Endpoint, ...]:
+    """Return ready endpoints with ids from 1, in two zones and deduplication groups of two."""
     return tuple(
-        Endpoint(id=number, zone="ab"[number % 2], deduplication_group=number // 2, **fields)  # type: ignore[arg-type]
-        for number in range(1, count + 1)
+        Endpoint(
+            endpoint_id,
+            zone="ab"[endpoint_id % 2],
+            deduplication_group=endpoint_id // 2,
+            started_at_us=started_at_us,
+        )
+        for endpoint_id in range(1, count + 1)
     )
 
 
+class FinalAnswer(Enum):
+    """How a request was completed."""
+
+    SERVED = "served"
+    SHED = "shed"
+    FAILED = "failed"
+    ABANDONED = "abandoned"
+
+
+class UnansweredRequest(NamedTuple):
+    """A request without a final answer."""
+
+    request: RequestArrived
+    deadline_us: int
+
+
+class Timer(NamedTuple):
+    """A timer that the policy has set."""
+
+    due_at_us: int
+    token: str
+
+
 @dataclass
 class DrivenAttempt:
-    request_id: int
+    """An attempt that the policy has started."""
+
+    request_id: RequestId
     number: int
     endpoint_id: EndpointId
     started_at_us: int
@@ -65,10 +100,18 @@
     last_byte_before_us: int = 0
     outcome: Outcome | None = None
 
+    @property
+    def possibly_executed(self) -> bool:
+        """Whether the endpoint may have executed the request, or may yet do so."""
+        return self.outcome is None or not self.outcome.proves_not_executed
+
 
 @dataclass
 class PolicyDriver:
-    """Plays the host program of one balancer and asserts the rules at every action."""
+    """Plays the host program of one policy and asserts the rules at every action.
+
+    Time stands still unless a test advances it.
+    """
 
     settings: Settings = field(default_factory=lambda: Settings(CLASSES))
     endpoint_count: int = 4
@@ -76,24 +119,73 @@
     classes: tuple[RequestClass, ...] = CLASSES
     now_us: int = 100 * US_PER_S
     attempts: list[DrivenAttempt] = field(default_factory=list)
-    unanswered: dict[int, tuple[RequestArrived, int]] = field(
-        default_factory=dict
-    )  # unanswered, with its deadline
-    answers: dict[int, list[str]] = field(default_factory=dict)
-    class_names: dict[int, str] = field(default_factory=dict)
+    unanswered: dict[RequestId, UnansweredRequest] = field(default_factory=dict)
+    answers: dict[RequestId, list[FinalAnswer]] = field(default_factory=dict)
+    class_names: dict[RequestId, str] = field(default_factory=dict)
     listed: dict[EndpointId, Endpoint] = field(default_factory=dict)
-    drain_notified_at_us: dict[EndpointId, int] = field(
-        default_factory=dict
-    )  # when a server was said to drain or be gone
-    timers: list[tuple[int, str]] = field(default_factory=list)
+    # When the policy was notified that an endpoint is draining or removed.
+    drain_notified_at_us: dict[EndpointId, int] = field(default_factory=dict)
+    timers: list[Timer] = field(default_factory=list)
     watch_requests: int = 0
+    _new_attempts: list[DrivenAttempt] = field(default_factory=list)
 
     def __post_init__(self) -> None:
         self.balancer = Balancer(self.settings, self.seed)
         if self.endpoint_count:
             self.notify_endpoints(endpoints(self.endpoint_count))
 
+    # Time
+
+    def advance(self, duration_us: int) -> None:
+        """Let time pass, without firing timers."""
+        self.now_us += duration_us
+
+    def advance_to(self, moment_us: int) -> None:
+        """Let time pass until a moment, without firing timers."""
+        self.now_us = moment_us
+
+    def fire_timer(self, due_at_us: int, token: str) -> list[Action]:
+        """Fire a timer at its moment, or now if that has passed."""
+        self.now_us = max(self.now_us, due_at_us)
+        return self.feed(TimerFired(token))
+
+    def fire_due_timers(self) -> None:
+        """Fire the timers that are due by now, in the order in which they were set."""
+        for timer in [timer for timer in self.timers if timer.due_at_us <= self.now_us]:
+            self.timers.remove(timer)
+            self.fire_timer(timer.due_at_us, timer.token)
+
+    def run_until(self, end_at_us: int) -> None:
+        """Let timers fire and deadlines pass in their order."""
+        while True:
+            timers = [timer.due_at_us for timer in self.timers]
+            deadlines = [unanswered.deadline_us for unanswered in self.unanswered.values()]
+            expiries = [attempt.expires_at_us for attempt in self.in_flight() if attempt.expires_at_us]
+            next_at_us = min([*timers, *deadlines, *expiries], default=end_at_us + 1)
+            if next_at_us > end_at_us:
+                break
+            self.now_us = max(self.now_us, next_at_us)
+            self.expire_overdue()
+            self.fire_due_timers()
+        self.now_us = end_at_us
+
+    def expire_overdue(self) -> None:
+        """Time out attempts past their own expiry or their client's deadline, as the host program must."""
+        overdue = [
+            request_id
+            for request_id, unanswered in self.unanswered.items()
+            if unanswered.deadline_us <= self.now_us
+        ]
+        for attempt in self.in_flight():
+            if attempt.request_id in overdue or 0 < attempt.expires_at_us <= self.now_us:
+                self.end_attempt(attempt, Outcome.TIMEOUT)
+        is_answered = not any(request_id in self.unanswered for request_id in overdue)
+        assert is_answered, "no final answer by the deadline"
+
+    # Events
+
     def feed(self, event: Event) -> list[Action]:
+        """Hand an event to the policy and check the actions that it returns."""
         actions = self.balancer.handle(event, self.now_us)
         for action in actions:
             self._check(action)
@@ -102,172 +194,205 @@
     def notify_endpoints(
         self, entries: Iterable[Endpoint], kind: ListUpdateKind = ListUpdateKind.COMPLETE
     ) -> list[Action]:
-        named = {server.id: server for server in entries}
+        """Notify the policy of an endpoint list."""
+        named = {endpoint.id: endpoint for endpoint in entries}
         if kind in (ListUpdateKind.COMPLETE, ListUpdateKind.CACHED):
-            for server in self.listed:
-                if server not in named:
-                    self.drain_notified_at_us.setdefault(server, self.now_us)
-        for server, entry in named.items():
-            self.listed[server] = entry
-            if entry.state is EndpointState.READY:
-                self.drain_notified_at_us.pop(server, None)
+            for endpoint_id in self.listed:
+                if endpoint_id not in named:
+                    self.drain_notified_at_us.setdefault(endpoint_id, self.now_us)
+        for endpoint_id, endpoint in named.items():
+            self.listed[endpoint_id] = endpoint
+            if endpoint.state is EndpointState.READY:
+                self.drain_notified_at_us.pop(endpoint_id, None)
             else:
-                self.drain_notified_at_us.setdefault(server, self.now_us)
+                self.drain_notified_at_us.setdefault(endpoint_id, self.now_us)
         return self.feed(EndpointListUpdate(kind, tuple(named.values())))
 
-    def fire_timer(self, due: int, token: str) -> list[Action]:
-        self.now_us = max(self.now_us, due)
-        return self.feed(TimerFired(token))
-
-    def new_request(self, class_name: str) -> RequestArrived:
-        """A request that is not yet fed."""
-        return RequestArrived(len(self.answers) + 1, class_name, 400 * US_PER_MS)
-
     def send_request(
         self,
         request_class: RequestClass = READ,
-        timeout_us: int = 400 * US_PER_MS,
+        timeout_us: int = DEFAULT_TIMEOUT_US,
         cost_us: int = 0,
         key: str | None = None,
         is_client_retry: bool = False,
         tenant: str = "",
-    ) -> int:
+    ) -> RequestId:
+        """Have a client send a request."""
+        request_id = len(self.answers) + 1
         request = RequestArrived(
-            len(self.answers) + 1, request_class.name, timeout_us, cost_us, key, is_client_retry, tenant
+            request_id, request_class.name, timeout_us, cost_us, key, is_client_retry, tenant
         )
-        self.unanswered[request.request_id] = (request, self.now_us + timeout_us)
-        self.answers[request.request_id] = []
-        self.class_names[request.request_id] = request_class.name
+        self.unanswered[request_id] = UnansweredRequest(request, self.now_us + timeout_us)
+        self.answers[request_id] = []
+        self.class_names[request_id] = request_class.name
         self.feed(request)
-        return request.request_id
-
-    def attempts_of(self, request: int) -> list[DrivenAttempt]:
-        return [sent for sent in self.attempts if sent.request_id == request]
+        return request_id
 
-    def in_flight(self, request_id: int | None = None) -> list[DrivenAttempt]:
-        return [
-            sent for sent in self.attempts if sent.outcome is None and request_id in (None, sent.request_id)
-        ]
+    def serve_request(
+        self, request_class: RequestClass = READ, latency_us: int = 30 * US_PER_MS
+    ) -> DrivenAttempt:
+        """Send a request and let its first attempt succeed after a latency."""
+        attempt = self.in_flight(self.send_request(request_class))[0]
+        self.advance(latency_us)
+        self.end_attempt(attempt)
+        return attempt
 
     def end_attempt(
         self,
-        sent: DrivenAttempt,
+        attempt: DrivenAttempt,
         outcome: Outcome = Outcome.OK,
         load_report: Mapping[str, float] | None = None,
     ) -> list[Action]:
-        assert sent.outcome is None
-        sent.outcome = outcome
-        if outcome is Outcome.OK and sent.request_id in self.unanswered:
-            del self.unanswered[sent.request_id]
-            self.answers[sent.request_id].append("served")
-        over = sent.request_id not in self.unanswered
+        """End an attempt that is in flight."""
+        assert attempt.outcome is None
+        attempt.outcome = outcome
+        if outcome is Outcome.OK and attempt.request_id in self.unanswered:
+            del self.unanswered[attempt.request_id]
+            self.answers[attempt.request_id].append(FinalAnswer.SERVED)
         return self.feed(
             AttemptEnded(
-                sent.request_id,
-                sent.number,
-                sent.endpoint_id,
+                attempt.request_id,
+                attempt.number,
+                attempt.endpoint_id,
                 outcome,
-                self.now_us - sent.started_at_us,
-                over,
+                self.now_us - attempt.started_at_us,
+                attempt.request_id not in self.unanswered,
                 dict(load_report) if load_report else None,
             )
         )
 
-    def serve_request(
-        self, request_class: RequestClass = READ, latency_us: int = 30 * US_PER_MS
-    ) -> DrivenAttempt:
-        """Ask, and let the first attempt be served."""
-        sent = self.in_flight(self.send_request(request_class))[0]
-        self.now_us += latency_us
-        self.end_attempt(sent)
-        return sent
-
-    def start_stream(self, sent: DrivenAttempt) -> list[Action]:
+    def start_stream(self, attempt: DrivenAttempt) -> list[Action]:
+        """Let the response of an attempt begin to flow."""
         return self.feed(
             ResponseStreamStarted(
-                sent.request_id, sent.number, sent.endpoint_id, self.now_us - sent.started_at_us
+                attempt.request_id, attempt.number, attempt.endpoint_id, self.now_us - attempt.started_at_us
             )
         )
 
-    def abandon(self, request: int) -> list[Action]:
-        self.unanswered.pop(request, None)
-        self.answers[request].append("abandoned")
-        return self.feed(RequestAbandoned(request))
+    def abandon(self, request_id: RequestId) -> list[Action]:
+        """Let the client of a request disconnect."""
+        self.unanswered.pop(request_id, None)
+        self.answers[request_id].append(FinalAnswer.ABANDONED)
+        return self.feed(RequestAbandoned(request_id))
 
-    def expire_overdue(self) -> None:
-        """Time out what is out past its own time or its client's, as the host program must."""
-        overdue = [request for request, (_, due) in self.unanswered.items() if due <= self.now_us]
-        for sent in self.in_flight():
-            if sent.request_id in overdue or 0 < sent.expires_at_us <= self.now_us:
-                self.end_attempt(sent, Outcome.TIMEOUT)
-        assert not any(request in self.unanswered for request in overdue), "no final answer by the deadline"
+    # Attempts
+
+    def attempts_of(self, request_id: RequestId) -> list[DrivenAttempt]:
+        """Return the attempts of a request, the first one first."""
+        return [attempt for attempt in self.attempts if attempt.request_id == request_id]
+
+    def in_flight(self, request_id: RequestId | None = None) -> list[DrivenAttempt]:
+        """Return the attempts in flight, of one request or of all."""
+        return [
+            attempt
+            for attempt in self.attempts
+            if attempt.outcome is None and request_id in (None, attempt.request_id)
+        ]
+
+    def take_new_attempts(self) -> list[DrivenAttempt]:
+        """Return the attempts that were started since the last call."""
+        taken, self._new_attempts = self._new_attempts, []
+        return taken
+
+    def take_timers(self) -> list[Timer]:
+        """Remove and return the timers that are set."""
+        taken, self.timers = self.timers, []
+        return taken
+
+    def forget_completed(self, keep: int) -> None:
+        """Drop the attempts of completed requests once there are more than `keep` attempts in all.
+
+        Many methods look through all attempts, so long simulations would slow down.
+        """
+        if len(self.attempts) > keep:
+            busy = {attempt.request_id for attempt in self.in_flight()}
+            self.attempts = [
+                attempt
+                for attempt in self.attempts
+                if attempt.request_id in busy or attempt.request_id in self.unanswered
+            ]
+
+    def forget_everything_started(self) -> None:
+        """Drop all attempts and timers; attempts in flight then never end."""
+        self.attempts.clear()
+        self._new_attempts.clear()
+        self.timers.clear()
+
+    # Rules
 
     def _check(self, action: Action) -> None:
-        if isinstance(action, StartAttempt):
-            self._check_send(action)
-        elif isinstance(action, ShedRequest | FailRequest):
-            self._check_answer(action)
-        elif isinstance(action, SetTimer):
-            assert action.delay_us > 0
-            self.timers.append((self.now_us + action.delay_us, action.token))
-        elif isinstance(action, CancelAttempt):
-            assert self.settings.cancellation_allowed
-            assert action.attempt_number < len(self.attempts_of(action.request_id))
-        elif isinstance(action, CheckHealth):
-            assert self.settings.health_checks_allowed
-            assert action.endpoint_id in self.listed
-        elif isinstance(action, WatchEndpointList):
-            self.watch_requests += 1
-
-    def _check_send(self, action: StartAttempt) -> None:
-        assert action.request_id in self.unanswered, "a send after the request was over"
-        request, deadline = self.unanswered[action.request_id]
-        assert self.now_us < deadline
+        match action:
+            case StartAttempt():
+                self._check_attempt(action)
+            case ShedRequest() | FailRequest():
+                self._check_answer(action)
+            case SetTimer(delay_us, token):
+                assert delay_us > 0
+                self.timers.append(Timer(self.now_us + delay_us, token))
+            case CancelAttempt(request_id, attempt_number):
+                assert self.settings.cancellation_allowed
+                assert attempt_number < len(self.attempts_of(request_id))
+            case CheckHealth(endpoint_id):
+                assert self.settings.health_checks_allowed
+                assert endpoint_id in self.listed
+            case WatchEndpointList():
+                self.watch_requests += 1
+
+    def _check_attempt(self, action: StartAttempt) -> None:
+        assert action.request_id in self.unanswered, "an attempt after the request was completed"
+        request, deadline_us = self.unanswered[action.request_id]
+        assert self.now_us < deadline_us
         assert action.endpoint_id in self.listed
-        assert action.endpoint_id not in self.drain_notified_at_us, (
-            "a send to a server that drains or is gone"
-        )
+        is_usable = action.endpoint_id not in self.drain_notified_at_us
+        assert is_usable, "an attempt at an endpoint that is draining or removed"
         earlier = self.attempts_of(action.request_id)
         assert len(earlier) < self.settings.max_attempts
         if not self.settings.hedging_allowed:
-            assert all(sent.outcome is not None for sent in earlier), "two attempts at once"
-        unsure = [sent for sent in earlier if sent.outcome is None or not sent.outcome.proves_not_executed]
-        kind = next(kind for kind in self.classes if kind.name == request.class_name)
-        if unsure and kind.idempotency is not Idempotency.IDEMPOTENT:
-            assert kind.idempotency is Idempotency.IDEMPOTENCY_KEY, "an unsafe request sent again"
-            assert self.now_us < unsure[0].started_at_us + kind.deduplication_window_us
-            here, there = self.listed[action.endpoint_id], self.listed[unsure[0].endpoint_id]
-            assert kind.deduplication_scope is not DeduplicationScope.ZONE or here.zone == there.zone
-            assert (
-                kind.deduplication_scope is not DeduplicationScope.GROUP
-                or here.deduplication_group == there.deduplication_group
-            )
-            assert (
-                self.now_us
-                < action.last_byte_before_us
-                <= unsure[0].started_at_us + kind.deduplication_window_us
-            )
-        self.attempts.append(
-            DrivenAttempt(
-                action.request_id,
-                len(earlier),
-                action.endpoint_id,
-                self.now_us,
-                action.expires_at_us,
-                action.last_byte_before_us,
-            )
+            assert all(attempt.outcome is not None for attempt in earlier), "two attempts in flight"
+        self._check_idempotency(action, self._class_of(request), earlier)
+        attempt = DrivenAttempt(
+            action.request_id,
+            len(earlier),
+            action.endpoint_id,
+            self.now_us,
+            action.expires_at_us,
+            action.last_byte_before_us,
         )
+        self.attempts.append(attempt)
+        self._new_attempts.append(attempt)
+
+    def _check_idempotency(
+        self, action: StartAttempt, request_class: RequestClass, earlier: list[DrivenAttempt]
+    ) -> None:
+        possibly_executed = [attempt for attempt in earlier if attempt.possibly_executed]
+        if not possibly_executed or request_class.idempotency is Idempotency.IDEMPOTENT:
+            return
+        has_key = request_class.idempotency is Idempotency.IDEMPOTENCY_KEY
+        assert has_key, "a retry of a request that must not be executed twice"
+        first = possibly_executed[0]
+        window_end_us = first.started_at_us + request_class.deduplication_window_us
+        assert self.now_us < window_end_us
+        endpoint, first_endpoint = self.listed[action.endpoint_id], self.listed[first.endpoint_id]
+        if request_class.deduplication_scope is DeduplicationScope.ZONE:
+            assert endpoint.zone == first_endpoint.zone
+        if request_class.deduplication_scope is DeduplicationScope.GROUP:
+            assert endpoint.deduplication_group == first_endpoint.deduplication_group
+        assert self.now_us < action.last_byte_before_us <= window_end_us
 
     def _check_answer(self, action: ShedRequest | FailRequest) -> None:
-        assert action.request_id in self.unanswered, "a second answer"
+        assert action.request_id in self.unanswered, "a second final answer"
         request, _ = self.unanswered.pop(action.request_id)
-        kind = next(kind for kind in self.classes if kind.name == request.class_name)
-        unsure = [
-            s
-            for s in self.attempts_of(request.request_id)
-            if s.outcome is None or not s.outcome.proves_not_executed
-        ]
-        if isinstance(action, ShedRequest) and unsure and kind.idempotency is not Idempotency.IDEMPOTENT:
-            assert kind.idempotency is Idempotency.IDEMPOTENCY_KEY, "a refusal of a request that may have run"
-            assert kind.deduplication_scope is DeduplicationScope.ALL
-        self.answers[request.request_id].append("shed" if isinstance(action, ShedRequest) else "failed")
+        if isinstance(action, ShedRequest):
+            self._check_shed(self._class_of(request), self.attempts_of(request.request_id))
+        answer = FinalAnswer.SHED if isinstance(action, ShedRequest) else FinalAnswer.FAILED
+        self.answers[request.request_id].append(answer)
+
+    def _check_shed(self, request_class: RequestClass, attempts: list[DrivenAttempt]) -> None:
+        possibly_executed = any(attempt.possibly_executed for attempt in attempts)
+        if possibly_executed and request_class.idempotency is not Idempotency.IDEMPOTENT:
+            has_key = request_class.idempotency is Idempotency.IDEMPOTENCY_KEY
+            assert has_key, "a request shed that was possibly executed"
+            assert request_class.deduplication_scope is DeduplicationScope.ALL
+
+    def _class_of(self, request: RequestArrived) -> RequestClass:
+        return next(known for known in self.classes if known.name == request.class_name)
--- /dev/null
+++ b/tests/support/tracked_endpoints.py
@@ -0,0 +1,16 @@
+"""Tracked endpoints without a balancer around them."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+from random import Random
+
+from http_gateway.policy.endpoint import Endpoint
+from http_gateway.policy.token_bucket import WarmUpBucket
+from http_gateway.policy.tracked_endpoint import TrackedEndpoint
+
+
+def track(endpoints: Iterable[Endpoint]) -> list[TrackedEndpoint]:
+    """Return tracked endpoints with empty warm-up buckets."""
+    random = Random(1)
+    return [TrackedEndpoint.create(endpoint, random, WarmUpBucket(0)) for endpoint in endpoints]
--- a/tests/unit/policy/test_circuit_breaker.py
+++ b/tests/unit/policy/test_circuit_breaker.py
@@ -1,4 +1,4 @@
-"""Every transition of the breaker."""
+"""Every transition of the circuit breaker."""
 
 from __future__ import annotations
 
@@ -15,115 +15,117 @@
     CircuitBreaker,
 )
 
-NOW = 1_000_000_000
+NOW_US = 1_000_000_000
 
 
 @pytest.fixture
 def breaker() -> CircuitBreaker:
+    """A closed breaker."""
     return CircuitBreaker(Random(1))
 
 
-def fail(breaker: CircuitBreaker, now: int, times: int = FAILURE_THRESHOLD) -> None:
-    for _ in range(times):
-        breaker.record_failure(now, is_probe=False)
+def record_failures(breaker: CircuitBreaker, now_us: int, count: int = FAILURE_THRESHOLD) -> None:
+    for _ in range(count):
+        breaker.record_failure(now_us, is_probe=False)
 
 
-def reopening(breaker: CircuitBreaker, now: int) -> int:
+def cooldown_us(breaker: CircuitBreaker, now_us: int) -> int:
     """How long an open breaker admits nothing from now on."""
     low, high = 0, 2 * MAX_COOLDOWN_US
     while low < high:
         middle = (low + high) // 2
-        if breaker.admits(now + middle):
+        if breaker.admits(now_us + middle):
             high = middle
         else:
             low = middle + 1
     return low
 
 
-def half_open(breaker: CircuitBreaker, now: int) -> int:
-    """Start the trial of an open breaker; return when."""
-    now += reopening(breaker, now)
+def start_probe(breaker: CircuitBreaker, now_us: int) -> int:
+    """Start the half-open probe of an open breaker; return its moment."""
+    now_us += cooldown_us(breaker, now_us)
     assert breaker.start_attempt()
-    return now
+    return now_us
 
 
-def test_closed_it_admits_below_the_threshold(breaker: CircuitBreaker) -> None:
-    fail(breaker, NOW, FAILURE_THRESHOLD - 1)
+def test_closed_breaker_admits_below_the_failure_threshold(breaker: CircuitBreaker) -> None:
+    record_failures(breaker, NOW_US, FAILURE_THRESHOLD - 1)
     assert breaker.is_closed
-    assert breaker.admits(NOW)
+    assert breaker.admits(NOW_US)
     assert not breaker.start_attempt()
 
 
-def test_a_success_clears_the_failures(breaker: CircuitBreaker) -> None:
-    fail(breaker, NOW, FAILURE_THRESHOLD - 1)
+def test_success_clears_the_failures(breaker: CircuitBreaker) -> None:
+    record_failures(breaker, NOW_US, FAILURE_THRESHOLD - 1)
     breaker.record_success(is_probe=False)
-    fail(breaker, NOW, FAILURE_THRESHOLD - 1)
+    record_failures(breaker, NOW_US, FAILURE_THRESHOLD - 1)
     assert breaker.is_closed
 
 
-def test_old_failures_age_out(breaker: CircuitBreaker) -> None:
-    fail(breaker, NOW, FAILURE_THRESHOLD - 1)
-    fail(breaker, NOW + FAILURE_WINDOW_US, 1)
+def test_failures_expire_after_the_failure_window(breaker: CircuitBreaker) -> None:
+    record_failures(breaker, NOW_US, FAILURE_THRESHOLD - 1)
+    record_failures(breaker, NOW_US + FAILURE_WINDOW_US, 1)
     assert breaker.is_closed
 
 
-def test_failures_at_the_threshold_open_it_for_a_jittered_cooldown(breaker: CircuitBreaker) -> None:
-    fail(breaker, NOW)
+def test_failures_at_the_threshold_open_the_breaker_for_a_jittered_cooldown(breaker: CircuitBreaker) -> None:
+    record_failures(breaker, NOW_US)
     assert not breaker.is_closed
-    assert not breaker.admits(NOW)
-    assert (
-        BASE_COOLDOWN_US * (1 - COOLDOWN_JITTER)
-        <= reopening(breaker, NOW)
-        <= BASE_COOLDOWN_US * (1 + COOLDOWN_JITTER)
+    assert not breaker.admits(NOW_US)
+    shortest_us, longest_us = (
+        BASE_COOLDOWN_US * (1 - COOLDOWN_JITTER),
+        BASE_COOLDOWN_US * (1 + COOLDOWN_JITTER),
     )
+    assert shortest_us <= cooldown_us(breaker, NOW_US) <= longest_us
 
 
 def test_cooldowns_differ_between_breakers() -> None:
-    found = set()
+    cooldowns_us = set()
     for seed in range(5):
         breaker = CircuitBreaker(Random(seed))
-        fail(breaker, NOW)
-        found.add(reopening(breaker, NOW))
-    assert len(found) == 5
+        record_failures(breaker, NOW_US)
+        cooldowns_us.add(cooldown_us(breaker, NOW_US))
+    assert len(cooldowns_us) == 5
 
 
-def test_half_open_it_admits_a_single_trial(breaker: CircuitBreaker) -> None:
-    fail(breaker, NOW)
-    now = half_open(breaker, NOW)
-    assert not breaker.admits(now + MAX_COOLDOWN_US)
+def test_half_open_breaker_admits_a_single_probe(breaker: CircuitBreaker) -> None:
+    record_failures(breaker, NOW_US)
+    now_us = start_probe(breaker, NOW_US)
+    assert not breaker.admits(now_us + MAX_COOLDOWN_US)
 
 
-def test_a_good_trial_closes_it_and_restores_the_base_cooldown(breaker: CircuitBreaker) -> None:
-    fail(breaker, NOW)
-    now = half_open(breaker, NOW)
-    breaker.record_failure(now, is_probe=True)
-    now = half_open(breaker, now)
+def test_successful_probe_closes_the_breaker_and_restores_the_base_cooldown(breaker: CircuitBreaker) -> None:
+    record_failures(breaker, NOW_US)
+    now_us = start_probe(breaker, NOW_US)
+    breaker.record_failure(now_us, is_probe=True)
+    now_us = start_probe(breaker, now_us)
     breaker.record_success(is_probe=True)
     assert breaker.is_closed
-    fail(breaker, now)
-    assert reopening(breaker, now) <= BASE_COOLDOWN_US * (1 + COOLDOWN_JITTER)
+    record_failures(breaker, now_us)
+    assert cooldown_us(breaker, now_us) <= BASE_COOLDOWN_US * (1 + COOLDOWN_JITTER)
 
 
-def test_failed_trials_double_the_cooldown_up_to_the_cap(breaker: CircuitBreaker) -> None:
-    fail(breaker, NOW)
-    now, expected = NOW, BASE_COOLDOWN_US
+def test_failed_probes_double_the_cooldown_up_to_the_cap(breaker: CircuitBreaker) -> None:
+    record_failures(breaker, NOW_US)
+    now_us, expected_us = NOW_US, BASE_COOLDOWN_US
     for _ in range(12):
-        now = half_open(breaker, now)
-        breaker.record_failure(now, is_probe=True)
-        expected = min(2 * expected, MAX_COOLDOWN_US)
-        assert expected * (1 - COOLDOWN_JITTER) <= reopening(breaker, now) <= expected * (1 + COOLDOWN_JITTER)
+        now_us = start_probe(breaker, now_us)
+        breaker.record_failure(now_us, is_probe=True)
+        expected_us = min(2 * expected_us, MAX_COOLDOWN_US)
+        shortest_us, longest_us = expected_us * (1 - COOLDOWN_JITTER), expected_us * (1 + COOLDOWN_JITTER)
+        assert shortest_us <= cooldown_us(breaker, now_us) <= longest_us
 
 
-def test_a_trial_given_up_frees_the_slot_without_a_verdict(breaker: CircuitBreaker) -> None:
-    fail(breaker, NOW)
-    now = half_open(breaker, NOW)
+def test_abandoned_probe_frees_its_slot_without_closing_the_breaker(breaker: CircuitBreaker) -> None:
+    record_failures(breaker, NOW_US)
+    now_us = start_probe(breaker, NOW_US)
     breaker.abandon_probe()
     assert not breaker.is_closed
-    assert breaker.admits(now)
+    assert breaker.admits(now_us)
 
 
-def test_an_open_breaker_passes_over_late_failures_of_earlier_attempts(breaker: CircuitBreaker) -> None:
-    fail(breaker, NOW)
-    before = reopening(breaker, NOW)
-    fail(breaker, NOW + 1)
-    assert reopening(breaker, NOW) == before
+def test_open_breaker_ignores_failures_of_attempts_from_before_it_opened(breaker: CircuitBreaker) -> None:
+    record_failures(breaker, NOW_US)
+    before_us = cooldown_us(breaker, NOW_US)
+    record_failures(breaker, NOW_US + 1)
+    assert cooldown_us(breaker, NOW_US) == before_us
--- a/tests/unit/policy/test_load_shedding.py
+++ b/tests/unit/policy/test_load_shedding.py
@@ -1,173 +1,194 @@
-"""A balancer turns work away while its own answers show that the servers are overloaded."""
+"""A gateway sheds load while its own responses show that the endpoints are overloaded."""
 
 from __future__ import annotations
 
+from heapq import heappop, heappush
+
 from http_gateway.policy.actions import ShedRequest
-from http_gateway.policy.events import Outcome, RequestArrived
+from http_gateway.policy.events import Outcome, RequestArrived, RequestId
 from http_gateway.policy.settings import Idempotency, RequestClass, Settings
 from http_gateway.policy.time_units import US_PER_MS, US_PER_S
-from tests.support.policy_driver import PolicyDriver
-
-CHEAP = RequestClass("cheap", 150 * US_PER_MS, 500 * US_PER_MS, Idempotency.IDEMPOTENT, priority_weight=1.0)
-DEAR = RequestClass("dear", 150 * US_PER_MS, 500 * US_PER_MS, Idempotency.IDEMPOTENT, priority_weight=5.0)
-CLASSES = (CHEAP, DEAR)
-
-
-def play(driver: PolicyDriver, taken: int, requests: int, gap: int = 20 * US_PER_MS) -> None:
-    """Requests of both classes in turn, each answered after so long."""
-    due: list[tuple[int, int]] = []
-    for number in range(requests):
-        arrives = driver.now_us + gap
-        while due and due[0][0] <= arrives:
-            driver.now_us, request = due.pop(0)
-            for sent in driver.in_flight(request):
-                driver.end_attempt(sent, Outcome.OK)
-        driver.now_us = arrives
-        due.append((driver.now_us + taken, driver.send_request(CLASSES[number % 2])))
-
-
-def refused(driver: PolicyDriver, kind: RequestClass, last: int) -> int:
-    requests = [number for number in driver.answers if driver.class_names[number] == kind.name][-last:]
-    return sum(driver.answers[number] == ["shed"] for number in requests)
-
-
-def overloaded(gap: int = 20 * US_PER_MS) -> PolicyDriver:
+from tests.support.policy_driver import FinalAnswer, PolicyDriver
+
+LOW = RequestClass("low", 150 * US_PER_MS, 500 * US_PER_MS, Idempotency.IDEMPOTENT, priority_weight=1.0)
+HIGH = RequestClass("high", 150 * US_PER_MS, 500 * US_PER_MS, Idempotency.IDEMPOTENT, priority_weight=5.0)
+CLASSES = (LOW, HIGH)
+INTERVAL_US = 20 * US_PER_MS  # between requests
+
+
+class Traffic:
+    """Requests whose attempts succeed after a latency."""
+
+    def __init__(self, driver: PolicyDriver) -> None:
+        self._driver = driver
+        self._responses: list[tuple[int, RequestId]] = []  # their moments
+
+    def wait(self, duration_us: int) -> None:
+        """Let time pass, and end the attempts that are due within it."""
+        driver, end_at_us = self._driver, self._driver.now_us + duration_us
+        while self._responses and self._responses[0][0] <= end_at_us:
+            response_at_us, request_id = heappop(self._responses)
+            driver.advance_to(response_at_us)
+            for attempt in driver.in_flight(request_id):
+                driver.end_attempt(attempt, Outcome.OK)
+        driver.advance_to(end_at_us)
+
+    def send(self, request_class: RequestClass, latency_us: int, tenant: str = "") -> RequestId:
+        """Send a request that is answered after a latency."""
+        request_id = self._driver.send_request(request_class, tenant=tenant)
+        heappush(self._responses, (self._driver.now_us + latency_us, request_id))
+        return request_id
+
+
+def send_both_classes(
+    driver: PolicyDriver, latency_us: int, count: int, interval_us: int = INTERVAL_US
+) -> None:
+    """Send requests of both classes in turn."""
+    traffic = Traffic(driver)
+    for number in range(count):
+        traffic.wait(interval_us)
+        traffic.send(CLASSES[number % 2], latency_us)
+
+
+def shed_count(driver: PolicyDriver, request_class: RequestClass, last: int) -> int:
+    """How many of the last requests of a class were shed."""
+    of_class = [
+        request_id for request_id in driver.answers if driver.class_names[request_id] == request_class.name
+    ]
+    return sum(driver.answers[request_id] == [FinalAnswer.SHED] for request_id in of_class[-last:])
+
+
+def overloaded_driver(interval_us: int = INTERVAL_US) -> PolicyDriver:
+    """A gateway that got responses in time, and then for two seconds late ones."""
     driver = PolicyDriver(Settings(CLASSES, cancellation_allowed=True), 12, classes=CLASSES)
-    play(driver, 20 * US_PER_MS, 10 * US_PER_S // gap // 5, gap)
-    assert not refused(driver, CHEAP, 50)
-    play(driver, 350 * US_PER_MS, 2 * US_PER_S // gap, gap)
+    send_both_classes(driver, 20 * US_PER_MS, 10 * US_PER_S // interval_us // 5, interval_us)
+    assert not shed_count(driver, LOW, 50)
+    send_both_classes(driver, 350 * US_PER_MS, 2 * US_PER_S // interval_us, interval_us)
     return driver
 
 
-def test_late_answers_turn_work_away_and_the_cheapest_first() -> None:
-    """Queues longer than the clients' patience kept every server busy with work nobody waited for."""
-    driver = overloaded()
-    assert refused(driver, CHEAP, 20) > 10
-    assert refused(driver, DEAR, 20) < refused(driver, CHEAP, 20)
+def test_late_responses_shed_load_lowest_priority_first() -> None:
+    """Queues longer than client timeouts kept every endpoint busy with requests nobody waited for."""
+    driver = overloaded_driver()
+    assert shed_count(driver, LOW, 20) > 10
+    assert shed_count(driver, HIGH, 20) < shed_count(driver, LOW, 20)
 
 
-def test_answers_in_time_bring_it_back() -> None:
-    driver = overloaded()
-    play(driver, 20 * US_PER_MS, 400)
-    assert not refused(driver, CHEAP, 20)
+def test_responses_in_time_end_load_shedding() -> None:
+    driver = overloaded_driver()
+    send_both_classes(driver, 20 * US_PER_MS, 400)
+    assert not shed_count(driver, LOW, 20)
 
 
-def test_a_balancer_with_little_traffic_reacts_as_soon() -> None:
-    """Counting late answers would make one of hundreds of balancers react after a minute."""
-    driver = overloaded(gap=150 * US_PER_MS)
-    assert refused(driver, CHEAP, 3) >= 2
+def test_gateway_with_little_traffic_sheds_load_as_soon() -> None:
+    """If late responses were counted, one of hundreds of gateways would react after a minute."""
+    driver = overloaded_driver(interval_us=150 * US_PER_MS)
+    assert shed_count(driver, LOW, 3) >= 2
 
 
-def test_a_full_server_is_no_overload_while_another_serves() -> None:
-    """Slow servers with full queues made balancers refuse what the rest of the fleet had room for."""
+def test_rejection_by_one_endpoint_is_no_overload_while_another_serves() -> None:
+    """Slow endpoints with full queues made gateways shed what the others had capacity for."""
     driver = PolicyDriver(Settings(CLASSES, cancellation_allowed=True), 12, classes=CLASSES)
     for _ in range(200):
-        driver.now_us += 20 * US_PER_MS
-        request = driver.send_request(CHEAP)
+        driver.advance(20 * US_PER_MS)
+        request_id = driver.send_request(LOW)
         for outcome in (Outcome.REJECTED, Outcome.OK):
-            for sent in driver.in_flight(request):
-                driver.now_us += US_PER_MS
-                driver.end_attempt(sent, outcome)
-    assert not refused(driver, CHEAP, 200)
+            for attempt in driver.in_flight(request_id):
+                driver.advance(US_PER_MS)
+                driver.end_attempt(attempt, outcome)
+    assert not shed_count(driver, LOW, 200)
 
 
-def test_a_retry_whose_aim_has_passed_is_refused() -> None:
-    """Clients that gave up came back for answers worth nothing and kept the servers from those in time."""
+def test_client_retry_after_the_latency_objective_is_shed() -> None:
+    """Responses to such retries count for nothing, and delay those that could be in time."""
     driver = PolicyDriver(Settings(CLASSES), 12, classes=CLASSES)
-    driver.send_request(CHEAP, timeout_us=300 * US_PER_MS)
-    after_refusal = driver.send_request(CHEAP, timeout_us=300 * US_PER_MS, is_client_retry=True)
-    after_time_out = driver.send_request(CHEAP, timeout_us=190 * US_PER_MS, is_client_retry=True)
-    assert driver.answers[after_refusal] == []
-    assert driver.answers[after_time_out] == ["shed"]
+    driver.send_request(LOW, timeout_us=300 * US_PER_MS)
+    in_time = driver.send_request(LOW, timeout_us=300 * US_PER_MS, is_client_retry=True)
+    late = driver.send_request(LOW, timeout_us=190 * US_PER_MS, is_client_retry=True)
+    assert driver.answers[in_time] == []
+    assert driver.answers[late] == [FinalAnswer.SHED]
 
 
-def test_a_late_retry_is_served_where_late_answers_have_worth() -> None:
-    patient = RequestClass("cheap", 150 * US_PER_MS, 500 * US_PER_MS, Idempotency.IDEMPOTENT, late_weight=0.5)
+def test_late_client_retry_is_served_where_late_responses_have_weight() -> None:
+    patient = RequestClass("low", 150 * US_PER_MS, 500 * US_PER_MS, Idempotency.IDEMPOTENT, late_weight=0.5)
     driver = PolicyDriver(Settings((patient,)), 12, classes=(patient,))
     driver.send_request(patient, timeout_us=300 * US_PER_MS)
-    assert (
-        driver.answers[driver.send_request(patient, timeout_us=190 * US_PER_MS, is_client_retry=True)] == []
-    )
+    late = driver.send_request(patient, timeout_us=190 * US_PER_MS, is_client_retry=True)
+    assert driver.answers[late] == []
 
 
-def test_what_a_tenant_sends_beyond_its_share_is_turned_away_first() -> None:
-    """Such traffic is worth little, yet it took the room of tenants that kept to their shares."""
-    options = Settings((CHEAP,), tenant_quotas_per_s={"modest": 30.0, "greedy": 5.0}, over_quota_weight=0.1)
-    driver = PolicyDriver(options, 12, classes=(CHEAP,))
-    asked: dict[str, list[int]] = {"modest": [], "greedy": []}
-    due: list[tuple[int, int]] = []
+def test_requests_over_quota_are_shed_first() -> None:
+    """They have little weight, and took the capacity of tenants within their quotas."""
+    settings = Settings((LOW,), tenant_quotas_per_s={"within": 30.0, "over": 5.0}, over_quota_weight=0.1)
+    driver = PolicyDriver(settings, 12, classes=(LOW,))
+    traffic = Traffic(driver)
+    requests: dict[str, list[RequestId]] = {"within": [], "over": []}
     for number in range(400):
-        arrives = driver.now_us + 25 * US_PER_MS
-        due.sort()
-        while due and due[0][0] <= arrives:
-            driver.now_us, request = due.pop(0)
-            for sent in driver.in_flight(request):
-                driver.end_attempt(sent, Outcome.OK)
-        driver.now_us = arrives
-        tenant = ("modest", "greedy")[number % 2]
-        asked[tenant].append(driver.send_request(CHEAP, tenant=tenant))
-        taken = 20 if number < 200 or number % 4 < 2 else 120
-        due.append((driver.now_us + taken * US_PER_MS, asked[tenant][-1]))
-    lost = {name: sum(driver.answers[r] == ["shed"] for r in asked[name][100:]) for name in asked}
-    assert lost["greedy"] > 10
-    assert lost["modest"] < lost["greedy"] / 2
-
-
-def test_it_never_turns_all_away_for_good() -> None:
-    """Some balancers that had lost their zone's servers refused all for the rest of the day, at no load."""
+        traffic.wait(25 * US_PER_MS)
+        tenant = ("within", "over")[number % 2]
+        latency_ms = 20 if number < 200 or number % 4 < 2 else 120
+        requests[tenant].append(traffic.send(LOW, latency_ms * US_PER_MS, tenant))
+    shed = {
+        tenant: sum(driver.answers[request_id] == [FinalAnswer.SHED] for request_id in sent[100:])
+        for tenant, sent in requests.items()
+    }
+    assert shed["over"] > 10
+    assert shed["within"] < shed["over"] / 2
+
+
+def test_load_shedding_admits_enough_to_notice_that_overload_has_ended() -> None:
+    """Gateways without endpoints in their zone shed all requests from then on, at no load."""
     driver = PolicyDriver(Settings(CLASSES, cancellation_allowed=True), 12, classes=CLASSES)
     for _ in range(300):
-        driver.send_request(CHEAP)
-        driver.now_us += 20 * US_PER_MS
+        driver.send_request(LOW)
+        driver.advance(20 * US_PER_MS)
         while driver.in_flight():
             driver.end_attempt(driver.in_flight()[0], Outcome.REJECTED)
     assert driver.balancer._shedder.admitted_fraction < 0.01
-    driver.now_us += US_PER_S
+    driver.advance(US_PER_S)
     for _ in range(100):
-        driver.send_request(CHEAP)
-        driver.now_us += 20 * US_PER_MS
-        for sent in driver.in_flight():
-            driver.end_attempt(sent)
-    assert not refused(driver, CHEAP, 20)
+        driver.send_request(LOW)
+        driver.advance(20 * US_PER_MS)
+        for attempt in driver.in_flight():
+            driver.end_attempt(attempt)
+    assert not shed_count(driver, LOW, 20)
 
 
-def test_servers_that_fail_are_no_overload() -> None:
-    """With no server of a zone left to connect to, the others had room for what was turned away."""
+def test_failed_connections_are_no_overload() -> None:
+    """When no endpoint of a zone accepted connections, the others had capacity for what was shed."""
     driver = PolicyDriver(Settings(CLASSES), 12, classes=CLASSES)
     for _ in range(60):
-        driver.send_request(CHEAP)
-        driver.now_us += 20 * US_PER_MS
+        driver.send_request(LOW)
+        driver.advance(20 * US_PER_MS)
         while driver.in_flight():
             driver.end_attempt(driver.in_flight()[0], Outcome.CONNECT_FAILED)
-        driver.now_us += 500 * US_PER_MS
+        driver.advance(500 * US_PER_MS)
     assert driver.balancer._shedder.admitted_fraction == 1
 
 
-def told_to_wait(longest: int, honoured: bool = True) -> list[int]:
-    settings = Settings(CLASSES, retry_after_allowed=honoured, max_retry_after_us=longest)
-    return [refusal(settings, seed).retry_after_us for seed in range(20)]
+def shed_request(settings: Settings, seed: int) -> ShedRequest:
+    """The answer of a gateway without endpoints."""
+    driver = PolicyDriver(settings, 0, seed, classes=CLASSES)
+    driver.send_request(LOW)
+    request = RequestArrived(len(driver.answers) + 1, LOW.name, 400 * US_PER_MS)
+    [answer] = driver.balancer.handle(request, driver.now_us)
+    assert isinstance(answer, ShedRequest)
+    return answer
 
 
-def test_who_is_refused_is_told_when_to_come_back() -> None:
-    waits = told_to_wait(longest=600 * US_PER_MS)
-    assert len(set(waits)) > 10  # not all at the same time
-    assert 0 < min(waits) < max(waits) < CHEAP.latency_objective_us
-    assert (
-        0
-        < min(told_to_wait(longest=20 * US_PER_MS))
-        <= max(told_to_wait(longest=20 * US_PER_MS))
-        <= 20 * US_PER_MS
-    )
+def retry_after_us(max_retry_after_us: int, is_allowed: bool = True) -> list[int]:
+    """The advice of twenty gateways."""
+    settings = Settings(CLASSES, retry_after_allowed=is_allowed, max_retry_after_us=max_retry_after_us)
+    return [shed_request(settings, seed).retry_after_us for seed in range(20)]
 
 
-def test_nobody_is_told_where_clients_do_not_take_it() -> None:
-    assert set(told_to_wait(longest=600 * US_PER_MS, honoured=False)) == {0}
+def test_shed_request_gets_a_jittered_retry_after() -> None:
+    advice_us = retry_after_us(max_retry_after_us=600 * US_PER_MS)
+    assert len(set(advice_us)) > 10  # so that retries are spread
+    assert 0 < min(advice_us) < max(advice_us) < LOW.latency_objective_us
+    capped_us = retry_after_us(max_retry_after_us=20 * US_PER_MS)
+    assert 0 < min(capped_us) <= max(capped_us) <= 20 * US_PER_MS
 
 
-def refusal(settings: Settings, seed: int) -> ShedRequest:
-    driver = PolicyDriver(settings, 0, seed, classes=CLASSES)
-    driver.send_request(CHEAP)
-    request = RequestArrived(len(driver.answers) + 1, CHEAP.name, 400 * US_PER_MS)
-    [answer] = driver.balancer.handle(request, driver.now_us)
-    assert isinstance(answer, ShedRequest)
-    return answer
+def test_shed_request_gets_no_retry_after_where_clients_do_not_honour_it() -> None:
+    assert set(retry_after_us(max_retry_after_us=600 * US_PER_MS, is_allowed=False)) == {0}
--- a/tests/unit/policy/test_policy_rules.py
+++ b/tests/unit/policy/test_policy_rules.py
@@ -1,34 +1,156 @@
-"""The four rules over generated event sequences; the driver asserts them at every action."""
+"""The policy rules over generated event sequences; the driver asserts them at every action."""
 
 from __future__ import annotations
 
+from dataclasses import dataclass
+from typing import Protocol
+
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from http_gateway.policy.endpoint import Endpoint, EndpointState
+from http_gateway.policy.endpoint import Endpoint, EndpointId, EndpointState
 from http_gateway.policy.events import ListUpdateKind, Outcome
 from http_gateway.policy.settings import Settings
 from http_gateway.policy.time_units import US_PER_MS, US_PER_S
 from tests.support.policy_driver import CLASSES, PolicyDriver, endpoints
 
+
+class Step(Protocol):
+    """Something that happens to a gateway."""
+
+    def apply(self, driver: PolicyDriver) -> None:
+        """Let it happen."""
+
+
+@dataclass(frozen=True)
+class SendRequest:
+    """A client sends a request."""
+
+    class_index: int
+    timeout_ms: int
+
+    def apply(self, driver: PolicyDriver) -> None:
+        """Send it."""
+        driver.send_request(
+            CLASSES[self.class_index],
+            self.timeout_ms * US_PER_MS,
+            cost_us=self.class_index * 10 * US_PER_MS,
+            key=f"k{self.class_index}",
+        )
+
+
+@dataclass(frozen=True)
+class EndAttempt:
+    """An attempt in flight ends, if there is one."""
+
+    number: int
+    outcome: Outcome
+
+    def apply(self, driver: PolicyDriver) -> None:
+        """End it."""
+        in_flight = driver.in_flight()
+        if in_flight:
+            attempt = in_flight[self.number % len(in_flight)]
+            driver.end_attempt(attempt, self.outcome, {"queue": 1.0, "surprise": 2.0})
+
+
+@dataclass(frozen=True)
+class Wait:
+    """Time passes."""
+
+    duration_ms: int
+
+    def apply(self, driver: PolicyDriver) -> None:
+        """Let it pass."""
+        driver.run_until(driver.now_us + self.duration_ms * US_PER_MS)
+
+
+@dataclass(frozen=True)
+class Disconnect:
+    """A client disconnects, if one waits."""
+
+    number: int
+
+    def apply(self, driver: PolicyDriver) -> None:
+        """Disconnect it."""
+        if driver.unanswered:
+            driver.abandon(list(driver.unanswered)[self.number % len(driver.unanswered)])
+
+
+@dataclass(frozen=True)
+class ChangeState:
+    """An endpoint changes its state, or is new."""
+
+    endpoint_id: EndpointId
+    state: EndpointState
+
+    def apply(self, driver: PolicyDriver) -> None:
+        """Notify the gateway."""
+        driver.notify_endpoints([changed_endpoint(self.endpoint_id, self.state)], ListUpdateKind.DELTA)
+
+
+@dataclass(frozen=True)
+class RestartEndpoint:
+    """An endpoint restarts."""
+
+    endpoint_id: EndpointId
+
+    def apply(self, driver: PolicyDriver) -> None:
+        """Notify the gateway."""
+        restarted = changed_endpoint(self.endpoint_id, EndpointState.READY, driver.now_us)
+        driver.notify_endpoints([restarted], ListUpdateKind.DELTA)
+
+
+@dataclass(frozen=True)
+class ReplaceList:
+    """A whole endpoint list arrives."""
+
+    endpoint_count: int
+    kind: ListUpdateKind
+
+    def apply(self, driver: PolicyDriver) -> None:
+        """Notify the gateway."""
+        driver.notify_endpoints(endpoints(self.endpoint_count), self.kind)
+
+
+@dataclass(frozen=True)
+class FailDiscovery:
+    """A call to discovery fails."""
+
+    def apply(self, driver: PolicyDriver) -> None:
+        """Notify the gateway."""
+        driver.notify_endpoints((), ListUpdateKind.FAILED)
+
+
+def changed_endpoint(endpoint_id: EndpointId, state: EndpointState, started_at_us: int = 0) -> Endpoint:
+    """An endpoint in the zone and group that `endpoints` gives it."""
+    return Endpoint(
+        endpoint_id,
+        state,
+        "ab"[endpoint_id % 2],
+        deduplication_group=endpoint_id // 2,
+        started_at_us=started_at_us,
+    )
+
+
 STEPS = st.lists(
     st.one_of(
-        st.tuples(st.just("ask"), st.integers(0, len(CLASSES) - 1), st.integers(1, 400)),
-        st.tuples(st.just("end"), st.integers(0, 50), st.sampled_from(list(Outcome))),
-        st.tuples(st.just("wait"), st.integers(0, 300), st.just(0)),
-        st.tuples(st.just("leave"), st.integers(0, 50), st.just(0)),
-        st.tuples(st.just("change"), st.integers(1, 8), st.sampled_from(list(EndpointState))),
-        st.tuples(st.just("restart"), st.integers(1, 8), st.just(0)),
-        st.tuples(
-            st.just("relist"),
+        st.builds(SendRequest, st.integers(0, len(CLASSES) - 1), st.integers(1, 400)),
+        st.builds(EndAttempt, st.integers(0, 50), st.sampled_from(list(Outcome))),
+        st.builds(Wait, st.integers(0, 300)),
+        st.builds(Disconnect, st.integers(0, 50)),
+        st.builds(ChangeState, st.integers(1, 8), st.sampled_from(list(EndpointState))),
+        st.builds(RestartEndpoint, st.integers(1, 8)),
+        st.builds(
+            ReplaceList,
             st.integers(0, 8),
             st.sampled_from([ListUpdateKind.COMPLETE, ListUpdateKind.CACHED]),
         ),
-        st.tuples(st.just("break"), st.just(0), st.just(0)),
+        st.builds(FailDiscovery),
     ),
     max_size=120,
 )
-OPTIONS = st.builds(
+SETTINGS = st.builds(
     Settings,
     classes=st.just(CLASSES),
     zone=st.sampled_from(["a", "b", ""]),
@@ -45,108 +167,72 @@
 )
 
 
-def pass_time(driver: PolicyDriver, until: int) -> None:
-    """Let timers fire and deadlines pass in their order."""
-    while True:
-        timers = [due for due, _ in driver.timers]
-        deadlines = [due for _, due in driver.unanswered.values()]
-        expiries = [sent.expires_at_us for sent in driver.in_flight() if sent.expires_at_us]
-        soonest = min([*timers, *deadlines, *expiries], default=until + 1)
-        if soonest > until:
-            break
-        driver.now_us = max(driver.now_us, soonest)
-        driver.expire_overdue()
-        for timer in [timer for timer in driver.timers if timer[0] <= driver.now_us]:
-            driver.timers.remove(timer)
-            driver.fire_timer(*timer)
-    driver.now_us = until
-
-
-def step(driver: PolicyDriver, what: str, number: int, detail: object) -> None:
-    if what == "ask":
-        assert isinstance(detail, int)
-        driver.send_request(
-            CLASSES[number], detail * US_PER_MS, cost_us=number * 10 * US_PER_MS, key=f"k{number}"
-        )
-    elif what == "wait":
-        pass_time(driver, driver.now_us + number * US_PER_MS)
-    elif what == "end" and driver.in_flight():
-        assert isinstance(detail, Outcome)
-        driver.end_attempt(
-            driver.in_flight()[number % len(driver.in_flight())], detail, {"queue": 1.0, "surprise": 2.0}
-        )
-    elif what == "leave" and driver.unanswered:
-        driver.abandon(list(driver.unanswered)[number % len(driver.unanswered)])
-    elif what == "change":
-        assert isinstance(detail, EndpointState)
-        driver.notify_endpoints(
-            [Endpoint(number, detail, "ab"[number % 2], deduplication_group=number // 2)],
-            ListUpdateKind.DELTA,
-        )
-    elif what == "restart":
-        entry = Endpoint(
-            number,
-            EndpointState.READY,
-            "ab"[number % 2],
-            deduplication_group=number // 2,
-            started_at_us=driver.now_us,
-        )
-        driver.notify_endpoints([entry], ListUpdateKind.DELTA)
-    elif what == "relist":
-        assert isinstance(detail, ListUpdateKind)
-        driver.notify_endpoints(endpoints(number), detail)
-    elif what == "break":
-        driver.notify_endpoints((), ListUpdateKind.FAILED)
-
-
 @settings(derandomize=True, database=None, deadline=None, max_examples=300)
-@given(OPTIONS, st.integers(0, 6), st.integers(0, 3), STEPS)
-def test_every_request_gets_one_answer_and_no_send_breaks_a_rule(
-    options: Settings, count: int, seed: int, steps: list[tuple[str, int, object]]
+@given(SETTINGS, st.integers(0, 6), st.integers(0, 3), STEPS)
+def test_every_request_gets_one_final_answer_and_every_attempt_keeps_the_rules(
+    policy_settings: Settings, endpoint_count: int, seed: int, steps: list[Step]
 ) -> None:
-    driver = PolicyDriver(options, count, seed)
-    for what, number, detail in steps:
-        step(driver, what, number, detail)
-    pass_time(driver, driver.now_us + US_PER_S)
+    driver = PolicyDriver(policy_settings, endpoint_count, seed)
+    for step in steps:
+        step.apply(driver)
+    driver.run_until(driver.now_us + US_PER_S)
     assert not driver.unanswered
     assert all(len(answers) == 1 for answers in driver.answers.values())
 
 
+NEW_ENDPOINT_ID = 9
+USUAL_COST_MS = 40
+MAX_COST_MS = 80
+
+
+def serve_usual_traffic(driver: PolicyDriver, count: int) -> None:
+    """Requests of the usual cost that succeed at once."""
+    for _ in range(count):
+        driver.advance(20 * US_PER_MS)
+        driver.send_request(cost_us=USUAL_COST_MS * US_PER_MS)
+        for attempt in driver.in_flight():
+            driver.end_attempt(attempt)
+
+
 @settings(derandomize=True, database=None, deadline=None, max_examples=60)
 @given(
     st.integers(0, 3),
     st.sampled_from([0.12, 0.3]),
-    st.lists(st.tuples(st.integers(1, 60), st.integers(1, 80)), min_size=50, max_size=300),
+    st.lists(st.tuples(st.integers(1, 60), st.integers(1, MAX_COST_MS)), min_size=50, max_size=300),
 )
-def test_a_cold_server_never_gets_more_than_its_share_in_any_window(
-    seed: int, share: float, arrivals: list[tuple[int, int]]
+def test_endpoint_warming_up_gets_no_more_than_its_share_in_any_window(
+    seed: int, initial_capacity: float, gaps_and_costs_ms: list[tuple[int, int]]
 ) -> None:
-    """Whatever this balancer's traffic, the cold server's part in it stays near its part in the capacity."""
-    options = Settings(
+    """Whatever this gateway's traffic, the endpoint's share of it stays near its share of the capacity."""
+    policy_settings = Settings(
         CLASSES,
-        initial_capacity=share,
+        initial_capacity=initial_capacity,
         slow_start_window_us=20 * US_PER_S,
         hedging_allowed=True,
         cancellation_allowed=True,
     )
-    driver = PolicyDriver(options, 4, seed)
-    for _ in range(100):
-        driver.now_us += 20 * US_PER_MS
-        driver.send_request(cost_us=40 * US_PER_MS)
-        for sent in driver.in_flight():
-            driver.end_attempt(sent)
-    driver.notify_endpoints([Endpoint(9, started_at_us=driver.now_us)], ListUpdateKind.DELTA)
-    started = driver.now_us
-    work = {sent.request_id: 40 for sent in driver.attempts}
-    for gap, cost in arrivals:
-        pass_time(driver, driver.now_us + gap * US_PER_MS)
-        work[driver.send_request(cost_us=cost * US_PER_MS)] = cost
-        for sent in driver.in_flight():
-            driver.end_attempt(sent, Outcome.REJECTED if sent.endpoint_id == 9 else Outcome.OK)
-    window = options.overload_window_us
-    for start in range(started, driver.now_us, 500 * US_PER_MS):
-        at_work = [sent for sent in driver.attempts if start <= sent.started_at_us < start + window]
-        total = sum(work[sent.request_id] for sent in at_work)
-        cold = sum(work[sent.request_id] for sent in at_work if sent.endpoint_id == 9)
-        warmth = share + (1 - share) * (start + window - started) / options.slow_start_window_us
-        assert cold <= options.overload_factor * total * warmth / 4 + 2 * 80
+    driver = PolicyDriver(policy_settings, 4, seed)
+    serve_usual_traffic(driver, 100)
+    started_at_us = driver.now_us
+    driver.notify_endpoints([Endpoint(NEW_ENDPOINT_ID, started_at_us=started_at_us)], ListUpdateKind.DELTA)
+    cost_ms = {attempt.request_id: USUAL_COST_MS for attempt in driver.attempts}
+    for gap_ms, request_cost_ms in gaps_and_costs_ms:
+        driver.run_until(driver.now_us + gap_ms * US_PER_MS)
+        cost_ms[driver.send_request(cost_us=request_cost_ms * US_PER_MS)] = request_cost_ms
+        for attempt in driver.in_flight():
+            is_new = attempt.endpoint_id == NEW_ENDPOINT_ID
+            driver.end_attempt(attempt, Outcome.REJECTED if is_new else Outcome.OK)
+    window_us = policy_settings.overload_window_us
+    for begin_at_us in range(started_at_us, driver.now_us, 500 * US_PER_MS):
+        end_at_us = begin_at_us + window_us
+        in_window = [
+            attempt for attempt in driver.attempts if begin_at_us <= attempt.started_at_us < end_at_us
+        ]
+        total = sum(cost_ms[attempt.request_id] for attempt in in_window)
+        of_new = sum(
+            cost_ms[attempt.request_id] for attempt in in_window if attempt.endpoint_id == NEW_ENDPOINT_ID
+        )
+        age = (end_at_us - started_at_us) / policy_settings.slow_start_window_us
+        capacity_fraction = initial_capacity + (1 - initial_capacity) * age
+        allowed = policy_settings.overload_factor * total * capacity_fraction / 4
+        assert of_new <= allowed + 2 * MAX_COST_MS
--- a/tests/unit/policy/test_retry_budget.py
+++ b/tests/unit/policy/test_retry_budget.py
@@ -1,30 +1,56 @@
-"""Attempts past the fallback, and hedges, share one budget."""
+"""Attempts beyond the first and its fallback, and hedged requests, share one budget."""
 
 from __future__ import annotations
 
 from http_gateway.policy.events import Outcome
-from http_gateway.policy.retry_budget import TOKENS_PER_REQUEST
+from http_gateway.policy.retry_budget import MAX_TOKENS_OF_FLEET, TOKENS_PER_REQUEST, RetryBudget
 from http_gateway.policy.settings import Settings
 from http_gateway.policy.time_units import US_PER_MS
 from tests.support.policy_driver import CLASSES, PolicyDriver
 
 
-def attempts_when_all_are_full(balancers: int, requests: int) -> int:
-    settings = Settings(CLASSES, gateway_count=balancers, max_attempts=9, hedging_allowed=True)
+def spend_all(budget: RetryBudget) -> int:
+    """Withdraw all whole tokens; return how many there were."""
+    withdrawn = 0
+    while budget.has_token:
+        budget.withdraw()
+        withdrawn += 1
+    return withdrawn
+
+
+def attempts_if_all_reject(gateway_count: int, request_count: int) -> int:
+    settings = Settings(CLASSES, gateway_count=gateway_count, max_attempts=9, hedging_allowed=True)
     driver = PolicyDriver(settings, 60)
-    for _ in range(requests):
+    for _ in range(request_count):
         driver.send_request()
         while driver.in_flight():
             driver.end_attempt(driver.in_flight()[0], Outcome.REJECTED)
-        driver.now_us += 100 * US_PER_MS
+        driver.advance(100 * US_PER_MS)
     return len(driver.attempts)
 
 
-def test_full_servers_get_a_try_a_fallback_and_a_tenth_more() -> None:
-    """Each of hundreds of balancers retrying as often as allowed kept full servers full."""
-    assert attempts_when_all_are_full(400, 100) <= 100 * (2 + TOKENS_PER_REQUEST) + 1
+def test_rejected_request_gets_an_attempt_a_fallback_and_a_tenth_of_a_retry() -> None:
+    """If each of hundreds of gateways retried as often as allowed, full endpoints would stay full."""
+    assert attempts_if_all_reject(400, 100) <= 100 * (2 + TOKENS_PER_REQUEST) + 1
+
+
+def test_initial_tokens_are_divided_among_the_gateways() -> None:
+    assert attempts_if_all_reject(1, 1) == 9
+    assert attempts_if_all_reject(400, 1) == 3
+
+
+def test_new_budget_is_full_and_never_below_one_token() -> None:
+    assert spend_all(RetryBudget(gateway_count=1)) == MAX_TOKENS_OF_FLEET
+    assert spend_all(RetryBudget(gateway_count=1000)) == 1
 
 
-def test_the_burst_is_split_among_the_balancers() -> None:
-    assert attempts_when_all_are_full(1, 1) == 9
-    assert attempts_when_all_are_full(400, 1) == 3
+def test_deposits_add_up_to_whole_tokens_but_not_beyond_the_capacity() -> None:
+    budget = RetryBudget(gateway_count=10)
+    spend_all(budget)
+    deposits_per_token = round(1 / TOKENS_PER_REQUEST)
+    for _ in range(deposits_per_token - 1):
+        budget.deposit()
+    assert not budget.has_token
+    for _ in range(100 * deposits_per_token):
+        budget.deposit()
+    assert spend_all(budget) == 2
--- /dev/null
+++ b/tests/unit/policy/test_slow_start_fleet.py
@@ -0,0 +1,335 @@
+"""What all gateways together send to endpoints that are warming up: never more than those withstand."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+
+import pytest
+from hypothesis import given, settings
+from hypothesis import strategies as st
+
+from http_gateway.policy.time_units import US_PER_S
+from tests.support.fleet.fleet import Fleet
+from tests.support.fleet.plan import FleetPlan
+from tests.support.fleet.scenarios import (
+    ALIKE,
+    CROSS_ZONE_COST,
+    FOUR_ZONES,
+    EndpointShape,
+    assert_endpoints_withstand,
+    busy_first_zone,
+    one_busy_gateway_in_four,
+    replace_under_traffic,
+    shaped_endpoints,
+    slow_start_settings,
+)
+
+GATEWAY_COUNTS = [1, 20, 60, 230]
+
+
+@pytest.mark.parametrize("earn_credit", [False, True])
+def test_traffic_of_a_replaced_zone_elsewhere_does_not_inflate_warm_up_buckets(earn_credit: bool) -> None:
+    """The largest zone restarts, and its gateways go to zones that get one in a hundred of their requests.
+
+    Divided by that part, the work of the warm endpoints there made an estimate that was far too high.
+    """
+    shapes = [EndpointShape("a", "x", 1.0)] * 24
+    shapes += [EndpointShape(zone, "x", 1.0) for zone in "bcd" for _ in range(4)]
+    plan = FleetPlan(
+        100,
+        shaped_endpoints(shapes),
+        slow_start_settings(
+            overload_factor=1.5,
+            connect_timeout_s=0.25,
+            initial_capacity=0.2,
+            slow_start_window_s=60,
+            cross_zone_cost=CROSS_ZONE_COST,
+        ),
+        capacity_per_s=50.0,
+        traffic_shares=busy_first_zone(100, 4, 24 / 9),  # by the capacity of the zones
+        max_list_delay_us=US_PER_S // 2,
+        responses_earn_credit=earn_credit,
+    )
+    fleet, new = replace_under_traffic(plan, lambda endpoint: endpoint.zone == "a", after_s=4)
+    assert_endpoints_withstand(fleet)
+    assert fleet.utilisation(new) > 0.2
+
+
+@pytest.mark.parametrize("earn_credit", [False, True])
+@pytest.mark.parametrize("gateway_count", GATEWAY_COUNTS)
+def test_all_gateways_together_do_not_overload_endpoints_warming_up(
+    gateway_count: int, earn_credit: bool
+) -> None:
+    """Traffic is uneven, lists and connections are late; the new endpoints are used nevertheless."""
+    plan = FleetPlan(
+        gateway_count,
+        ALIKE,
+        slow_start_settings(connect_timeout_s=1.5),
+        traffic_shares=one_busy_gateway_in_four(gateway_count),
+        max_list_delay_us=3 * US_PER_S,
+        work_spread=0.5,
+        responses_earn_credit=earn_credit,
+    )
+    fleet, new = replace_under_traffic(plan, lambda endpoint: endpoint.id % 5 == 0, after_s=8)
+    assert_endpoints_withstand(fleet)
+    assert fleet.utilisation(new) > 0.05
+
+
+@pytest.mark.parametrize("gateway_count", GATEWAY_COUNTS)
+def test_endpoints_warming_up_get_a_fifth_of_what_they_can_do(gateway_count: int) -> None:
+    """The warm ones are used at three fifths; one request each overload window would be one in twenty."""
+    plan = FleetPlan(gateway_count, ALIKE, slow_start_settings(), capacity_per_s=60.0)
+    fleet, new = replace_under_traffic(plan, lambda endpoint: endpoint.id % 5 == 0)
+    assert_endpoints_withstand(fleet)
+    assert fleet.utilisation(new) > 0.2
+
+
+@pytest.mark.parametrize("gateway_count", GATEWAY_COUNTS)
+def test_gateway_restarts_do_not_overload_endpoints_warming_up(gateway_count: int) -> None:
+    """Each second one gateway in four restarts, some with a cached list from before the change."""
+    plan = FleetPlan(
+        gateway_count,
+        ALIKE,
+        slow_start_settings(),
+        max_list_delay_us=US_PER_S,
+        responses_earn_credit=False,
+    )
+    fleet, new = replace_under_traffic(plan, lambda endpoint: endpoint.id % 5 == 0, after_s=1)
+    for second in range(5):
+        for gateway_index in range(second % 4, gateway_count, 4):
+            fleet.restart_gateway(gateway_index, versions_back=gateway_index // 4 % 2)
+        fleet.run(1)
+    assert_endpoints_withstand(fleet)
+    assert fleet.utilisation(new) > 0
+
+
+@pytest.mark.parametrize("earn_credit", [False, True])
+@pytest.mark.parametrize("gateway_count", [20, 60, 230])
+def test_clients_of_lost_gateways_do_not_overload_endpoints_warming_up(
+    gateway_count: int, earn_credit: bool
+) -> None:
+    """Three gateways in ten get all of the traffic; the settings count them all."""
+    shares = tuple(1.0 if index % 10 < 3 else 1e-6 for index in range(gateway_count))
+    plan = FleetPlan(
+        gateway_count,
+        ALIKE,
+        slow_start_settings(),
+        traffic_shares=shares,
+        max_list_delay_us=US_PER_S,
+        responses_earn_credit=earn_credit,
+    )
+    fleet, new = replace_under_traffic(plan, lambda endpoint: endpoint.id % 2 == 0)
+    assert_endpoints_withstand(fleet)
+    assert fleet.utilisation(new) > 0.1
+
+
+@pytest.mark.parametrize("gateway_count", GATEWAY_COUNTS)
+def test_endpoints_restarted_under_their_ids_are_not_overloaded(gateway_count: int) -> None:
+    """Some restart twice, before all gateways are notified of the first time."""
+    plan = FleetPlan(
+        gateway_count,
+        ALIKE,
+        slow_start_settings(),
+        max_list_delay_us=4 * US_PER_S,
+        responses_earn_credit=False,
+    )
+    fleet = Fleet(plan)
+    fleet.run(5)
+    fleet.restart_endpoints(ALIKE[:6])
+    fleet.run(3)
+    fleet.restart_endpoints(ALIKE[4:8])
+    fleet.run(5)
+    assert_endpoints_withstand(fleet)
+
+
+@pytest.mark.parametrize("weights_are_capacities", [False, True])
+@pytest.mark.parametrize("gateway_count", GATEWAY_COUNTS)
+def test_small_endpoints_of_a_machine_type_are_not_overloaded(
+    gateway_count: int, weights_are_capacities: bool
+) -> None:
+    """Also where gateways cannot know the capacities."""
+    weights = [0.5, 1.0, 2.0, 4.0] if weights_are_capacities else [0.5, 1.0, 1.0, 1.5]
+    plan = FleetPlan(
+        gateway_count,
+        shaped_endpoints([EndpointShape("a", "x", weight) for weight in weights * 5]),
+        slow_start_settings(weights_are_capacities=weights_are_capacities),
+        responses_earn_credit=False,
+        max_list_delay_us=US_PER_S,
+    )
+    fleet, new = replace_under_traffic(plan, lambda endpoint: endpoint.id <= 4)
+    assert_endpoints_withstand(fleet)
+    assert fleet.utilisation(new) > 0.05
+
+
+@pytest.mark.parametrize("at_once", [False, True])
+@pytest.mark.parametrize("gateway_count", GATEWAY_COUNTS)
+def test_machine_type_without_a_warm_endpoint_is_not_overloaded(gateway_count: int, at_once: bool) -> None:
+    """If its endpoints are replaced one by one, the last warm ones serve a few gateways only."""
+    endpoints = shaped_endpoints([EndpointShape("a", machine_type, 1.0) for machine_type in "xxxy" * 5])
+    plan = FleetPlan(
+        gateway_count,
+        endpoints,
+        slow_start_settings(),
+        max_list_delay_us=2 * US_PER_S,
+        responses_earn_credit=False,
+    )
+    fleet = Fleet(plan)
+    fleet.run(5)
+    replaced = [endpoint for endpoint in endpoints if endpoint.machine_type == "y"]
+    if at_once:
+        fleet.replace_endpoints(replaced)
+    else:
+        for endpoint in replaced:
+            fleet.replace_endpoints([endpoint])
+            fleet.run(0.7)
+    fleet.run(5)
+    assert_endpoints_withstand(fleet)
+    new = [endpoint for endpoint in fleet.endpoints if endpoint.machine_type == "y"]
+    assert fleet.utilisation(new) > 0.05
+
+
+@pytest.mark.parametrize("gap_s", [0, 4])
+@pytest.mark.parametrize("gateway_count", GATEWAY_COUNTS)
+def test_zone_that_returns_warming_up_is_not_overloaded(gateway_count: int, gap_s: int) -> None:
+    """It is replaced at once, or missing for some seconds in which its requests go to other zones."""
+    endpoints = shaped_endpoints([EndpointShape(zone, "x", 1.0) for zone in "abcd"] * 5)
+    plan = FleetPlan(
+        gateway_count,
+        endpoints,
+        slow_start_settings(cross_zone_cost=CROSS_ZONE_COST),
+        max_list_delay_us=US_PER_S,
+        responses_earn_credit=False,
+    )
+    other_zones = tuple(endpoint for endpoint in endpoints if endpoint.zone != "a")
+    fleet = Fleet(plan)
+    fleet.run(5)
+    if gap_s:
+        fleet.publish_list(other_zones)
+        fleet.run(gap_s)
+    new = [
+        replace(endpoint, id=100 + endpoint.id, started_at_us=fleet.now_us)
+        for endpoint in endpoints
+        if endpoint.zone == "a"
+    ]
+    fleet.publish_list((*other_zones, *new))
+    fleet.run(6)
+    assert_endpoints_withstand(fleet)
+    assert fleet.utilisation(new) > 0.05
+
+
+@pytest.mark.parametrize("gateway_count", GATEWAY_COUNTS)
+def test_few_heavy_requests_do_not_overload_endpoints_warming_up(gateway_count: int) -> None:
+    """The budget of an overload window is 2.7 requests at the start."""
+    plan = FleetPlan(
+        gateway_count,
+        ALIKE,
+        slow_start_settings(slow_start_window_s=80),
+        capacity_per_s=3.0,
+        work_spread=0.5,
+        responses_earn_credit=False,
+        latency_objective_us=3 * US_PER_S,
+        timeout_us=6 * US_PER_S,
+    )
+    fleet, new = replace_under_traffic(plan, lambda endpoint: endpoint.id % 5 == 0, before_s=10, after_s=40)
+    assert_endpoints_withstand(fleet)
+    assert fleet.utilisation(new) > 0.03
+
+
+@pytest.mark.parametrize("earn_credit", [False, True])
+@pytest.mark.parametrize("gateway_count", GATEWAY_COUNTS)
+def test_many_light_requests_do_not_overload_endpoints_warming_up(
+    gateway_count: int, earn_credit: bool
+) -> None:
+    """The budget of an overload window is 180 requests at the start: little is put down to chance."""
+    plan = FleetPlan(
+        gateway_count,
+        shaped_endpoints([EndpointShape("a", "x", 1.0)] * 6),
+        slow_start_settings(overload_window_s=3, connect_timeout_s=0.1),
+        capacity_per_s=135.0,
+        traffic_shares=one_busy_gateway_in_four(gateway_count),
+        responses_earn_credit=earn_credit,
+    )
+    fleet, new = replace_under_traffic(plan, lambda endpoint: endpoint.id <= 2, before_s=4, after_s=4)
+    assert_endpoints_withstand(fleet)
+    assert fleet.utilisation(new) > 0.2
+
+
+@pytest.mark.parametrize("earn_credit", [False, True])
+@pytest.mark.parametrize(
+    ("traffic_factor", "overload_factor", "initial_capacity"),
+    [(1.5, 1.5, 0.15), (2.0, 1.5, 0.15), (2.0, 2.0, 0.1), (3.0, 1.5, 0.15)],
+)
+def test_zone_with_more_traffic_than_capacity_is_not_overloaded(
+    traffic_factor: float, overload_factor: float, initial_capacity: float, earn_credit: bool
+) -> None:
+    """It is replaced, and its gateways use most of what the other zones can do."""
+    plan = FleetPlan(
+        60,
+        FOUR_ZONES,
+        slow_start_settings(
+            overload_factor=overload_factor,
+            overload_window_s=3.0,
+            connect_timeout_s=0.1,
+            initial_capacity=initial_capacity,
+            slow_start_window_s=60.0,
+            cross_zone_cost=CROSS_ZONE_COST,
+        ),
+        capacity_per_s=60.0,
+        offered_load=0.8,
+        traffic_shares=busy_first_zone(60, 4, traffic_factor),
+        responses_earn_credit=earn_credit,
+    )
+    fleet, _ = replace_under_traffic(plan, lambda endpoint: endpoint.zone == "a", before_s=4, after_s=4)
+    assert_endpoints_withstand(fleet)
+
+
+@st.composite
+def fleet_plans(draw: st.DrawFn) -> tuple[FleetPlan, float]:
+    """Draw a plan, and the fraction of its endpoints that is replaced."""
+    zone_count, machine_type_count = draw(st.integers(1, 4)), draw(st.integers(1, 3))
+    endpoint_count = draw(st.integers(max(4, zone_count), 24))
+    weights_are_capacities = draw(st.booleans())
+    weights = draw(st.sampled_from([[1.0], [0.5, 1.0, 2.0]])) if weights_are_capacities else [1.0]
+    policy_settings = slow_start_settings(
+        overload_factor=draw(st.floats(1.5, 4)),
+        overload_window_s=draw(st.floats(1, 3)),
+        connect_timeout_s=draw(st.floats(0.1, 1.5)),
+        initial_capacity=draw(st.floats(0.1, 0.5)),
+        cross_zone_cost=draw(st.sampled_from([0.0, CROSS_ZONE_COST])),
+        weights_are_capacities=weights_are_capacities,
+    )
+    shapes = [
+        EndpointShape(
+            zone="abcd"[number % zone_count],
+            machine_type="xyz"[number // zone_count % machine_type_count],
+            weight=weights[number // 2 % len(weights)],
+        )
+        for number in range(endpoint_count)
+    ]
+    gateway_count = draw(st.integers(1, 120))
+    plan = FleetPlan(
+        gateway_count,
+        shaped_endpoints(shapes),
+        policy_settings,
+        capacity_per_s=draw(st.sampled_from([3.0, 20.0, 50.0])),
+        offered_load=draw(st.floats(0.3, 0.8)),
+        traffic_shares=one_busy_gateway_in_four(gateway_count, 5.0, zone_count)
+        if draw(st.booleans())
+        else (),
+        max_list_delay_us=draw(st.integers(0, 3)) * US_PER_S,
+        responses_earn_credit=draw(st.booleans()),
+        work_spread=draw(st.sampled_from([0.0, 0.5])),
+        seed=draw(st.integers(1, 1000)),
+    )
+    return plan, draw(st.floats(0.1, 1))
+
+
+@settings(derandomize=True, deadline=None, max_examples=80, database=None)
+@given(drawn=fleet_plans())
+def test_endpoints_warming_up_are_not_overloaded_in_any_fleet(drawn: tuple[FleetPlan, float]) -> None:
+    plan, replaced_fraction = drawn
+    last_replaced = max(1, round(replaced_fraction * len(plan.endpoints)))
+    fleet, _ = replace_under_traffic(
+        plan, lambda endpoint: endpoint.id <= last_replaced, before_s=4, after_s=4
+    )
+    assert_endpoints_withstand(fleet)
--- a/tests/unit/policy/test_zone_weights.py
+++ b/tests/unit/policy/test_zone_weights.py
@@ -1,9 +1,8 @@
-"""Where work goes when crossing zones has its price."""
+"""Where requests go if crossing zones has a cost."""
 
 from __future__ import annotations
 
 from collections import Counter
-from random import Random
 
 import pytest
 
@@ -11,60 +10,92 @@
 from http_gateway.policy.endpoint_set import capacity_by_zone
 from http_gateway.policy.settings import Settings
 from http_gateway.policy.time_units import US_PER_MS
-from http_gateway.policy.token_bucket import WarmUpBucket
 from http_gateway.policy.tracked_endpoint import TrackedEndpoint
 from http_gateway.policy.zone_weights import zone_weights
 from tests.support.policy_driver import CLASSES, PolicyDriver
+from tests.support.tracked_endpoints import track
 
-SIZES = [(10, 10, 10), (5, 10, 15), (27, 20, 13), (1, 1, 40)]
+ENDPOINTS_PER_ZONE = [(10, 10, 10), (5, 10, 15), (27, 20, 13), (1, 1, 40)]
 
 
-def fleet(sizes: tuple[int, ...]) -> list[Endpoint]:
-    zones = "".join(zone * size for zone, size in zip("abc", sizes, strict=True))
-    return [Endpoint(number, zone=zone) for number, zone in enumerate(zones, 1)]
+def zoned_endpoints(endpoints_per_zone: tuple[int, ...]) -> list[Endpoint]:
+    zones = "".join(zone * count for zone, count in zip("abc", endpoints_per_zone, strict=True))
+    return [Endpoint(endpoint_id, zone=zone) for endpoint_id, zone in enumerate(zones, 1)]
 
 
-def settings(zone: str, rank: int = 0) -> Settings:
+def zone_settings(zone: str, cross_zone_cost: float = 0.03, gateway_count: int = 40) -> Settings:
     return Settings(
-        CLASSES, zone=zone, gateway_count=40, gateway_index=rank, key_affinity=True, cross_zone_cost=0.03
+        CLASSES,
+        zone=zone,
+        gateway_count=gateway_count,
+        key_affinity=True,
+        cross_zone_cost=cross_zone_cost,
     )
 
 
-@pytest.mark.parametrize("sizes", SIZES)
-@pytest.mark.parametrize("warmth", [1.0, 0.2])
-def test_all_zones_together_mean_as_much_for_each_unit_of_capacity(
-    sizes: tuple[int, ...], warmth: float
+@pytest.mark.parametrize("endpoints_per_zone", ENDPOINTS_PER_ZONE)
+@pytest.mark.parametrize("capacity_fraction", [1.0, 0.2])
+def test_weights_of_all_zones_together_are_equal_for_each_unit_of_capacity(
+    endpoints_per_zone: tuple[int, ...], capacity_fraction: float
 ) -> None:
-    random = Random(1)
-    hosts = [TrackedEndpoint.create(server, random, WarmUpBucket(0)) for server in fleet(sizes)]
-    held = {host: warmth if host.endpoint.zone == "b" else 1.0 for host in hosts}
-    meant = Counter[TrackedEndpoint]()
+    tracked_endpoints = track(zoned_endpoints(endpoints_per_zone))
+    capacity_fractions = {
+        tracked: capacity_fraction if tracked.endpoint.zone == "b" else 1.0 for tracked in tracked_endpoints
+    }
+    total_weight = Counter[TrackedEndpoint]()
     for zone in "abc":
-        weights = zone_weights(capacity_by_zone(held), settings(zone))
-        assert sum(weights[host.endpoint.zone] * held[host] for host in hosts) == pytest.approx(1)
-        meant.update({host: weights[host.endpoint.zone] for host in hosts})
-    assert max(meant.values()) == pytest.approx(min(meant.values()))
-
-
-@pytest.mark.parametrize(("sizes", "away"), [((10, 10, 10), 0.0), ((5, 10, 15), 0.5), ((15, 10, 5), 0.0)])
-def test_work_stays_in_its_zone_as_far_as_its_hosts_can_take_it(sizes: tuple[int, ...], away: float) -> None:
-    """Of forty gateways' requests, three in five crossed zones: 20 ms later, at a price."""
-    driver = PolicyDriver(settings("a"), 0)
-    servers = fleet(sizes)
-    driver.notify_endpoints(servers)
+        weights = zone_weights(capacity_by_zone(capacity_fractions), zone_settings(zone))
+        weight_of = {tracked: weights[tracked.endpoint.zone] for tracked in tracked_endpoints}
+        assert sum(
+            weight_of[tracked] * capacity_fractions[tracked] for tracked in tracked_endpoints
+        ) == pytest.approx(1)
+        total_weight.update(weight_of)
+    assert max(total_weight.values()) == pytest.approx(min(total_weight.values()))
+
+
+@pytest.mark.parametrize(
+    ("endpoints_per_zone", "remote_fraction"), [((10, 10, 10), 0.0), ((5, 10, 15), 0.5), ((15, 10, 5), 0.0)]
+)
+def test_requests_stay_in_their_zone_as_far_as_it_has_capacity(
+    endpoints_per_zone: tuple[int, ...], remote_fraction: float
+) -> None:
+    """Three in five requests of forty gateways crossed zones, each at a cost and 20 ms later."""
+    driver = PolicyDriver(zone_settings("a"), 0)
+    endpoints = zoned_endpoints(endpoints_per_zone)
+    driver.notify_endpoints(endpoints)
     for number in range(600):
         driver.send_request(key=f"k{number}")
-        driver.now_us += 20 * US_PER_MS
+        driver.advance(20 * US_PER_MS)
         driver.end_attempt(driver.in_flight()[0])
-    zones = Counter(servers[sent.endpoint_id - 1].zone for sent in driver.attempts)
-    assert 1 - zones["a"] / len(driver.attempts) == pytest.approx(away, abs=0.15)  # the less busy of two
-    assert away == 0 or zones["c"] > 10 * zones["b"]  # where there is capacity to spare
+    attempts_in_zone = Counter(endpoints[attempt.endpoint_id - 1].zone for attempt in driver.attempts)
+    measured = 1 - attempts_in_zone["a"] / len(driver.attempts)
+    assert measured == pytest.approx(remote_fraction, abs=0.15)  # of two endpoints the less busy is chosen
+    # They go where there is capacity to spare.
+    assert remote_fraction == 0 or attempts_in_zone["c"] > 10 * attempts_in_zone["b"]
 
 
-def test_another_zone_stands_in_where_no_server_here_admits() -> None:
-    driver = PolicyDriver(settings("a"), 0)
-    servers = fleet((2, 2, 2))
-    driver.notify_endpoints(servers)
+def test_other_zones_are_used_where_no_local_endpoint_admits() -> None:
+    driver = PolicyDriver(zone_settings("a"), 0)
+    endpoints = zoned_endpoints((2, 2, 2))
+    driver.notify_endpoints(endpoints)
     for number in range(40):
         driver.send_request(key=f"k{number}")
-    assert {servers[sent.endpoint_id - 1].zone for sent in driver.in_flight()} == {"a", "b", "c"}
+    assert {endpoints[attempt.endpoint_id - 1].zone for attempt in driver.in_flight()} == {"a", "b", "c"}
+
+
+def test_fleet_without_capacity_has_no_weights() -> None:
+    assert zone_weights({}, zone_settings("a")) == {}
+    assert zone_weights({"b": 0.0}, zone_settings("a")) == {"b": 0.0}
+
+
+@pytest.mark.parametrize(
+    "settings",
+    [
+        zone_settings("a", cross_zone_cost=0.0),
+        zone_settings("elsewhere"),
+        zone_settings("a", gateway_count=1),
+    ],
+)
+def test_all_zones_weigh_alike_without_zone_preference(settings: Settings) -> None:
+    """Crossing zones costs nothing, the gateway's zone has no endpoint, or there is a single gateway."""
+    assert zone_weights({"a": 10.0, "b": 30.0}, settings) == pytest.approx({"a": 1 / 40, "b": 1 / 40})
