--- a/tests/support/fleet/gateway_member.py
+++ b/tests/support/fleet/gateway_member.py
@@ -1,4 +1,4 @@
-"""One gateway of a fleet: the host program around its policy, in virtual time."""
+"""One gateway of a fleet: the caller of its policy, in virtual time."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 class GatewayMember:
     """One instance of a gateway; a restarted gateway is another instance.
 
-    A `PolicyDriver` plays its host program, so the policy rules are checked at every action.
+    A `PolicyDriver` calls its policy, so the policy rules are checked at every action.
     """
 
     def __init__(
--- a/tests/support/fleet/stepped_fleet.py
+++ b/tests/support/fleet/stepped_fleet.py
@@ -2,7 +2,7 @@
 
 Unlike `Fleet` it has no connections, queueing delays or late notifications: endpoints respond at once, lists
 arrive everywhere at once, and all requests have the same work. So what arrives shows the warm-up buckets
-alone.
+alone. Only first attempts reach the endpoints; a retry after a rejection is neither ended nor counted.
 """
 
 from __future__ import annotations
--- a/tests/support/pending_requests.py
+++ b/tests/support/pending_requests.py
@@ -1,4 +1,4 @@
-"""Pending requests without a balancer around them."""
+"""Pending requests for tests of single modules of the policy."""
 
 from __future__ import annotations
 
--- a/tests/support/policy_driver.py
+++ b/tests/support/policy_driver.py
@@ -1,4 +1,4 @@
-"""Drives one policy in place of its host program, and asserts the policy rules at every action."""
+"""Drives one policy in place of its caller, and asserts the policy rules at every action."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     WatchEndpointList,
 )
 from http_gateway.policy.balancer import Balancer
-from http_gateway.policy.endpoint import Endpoint, EndpointId, EndpointState
+from http_gateway.policy.endpoint import Endpoint, EndpointId
 from http_gateway.policy.events import (
     AttemptEnded,
     EndpointListUpdate,
@@ -33,6 +33,12 @@
 )
 from http_gateway.policy.settings import DeduplicationScope, Idempotency, RequestClass, Settings
 from http_gateway.policy.time_units import US_PER_MS, US_PER_S
+from tests.support.policy_rules import (
+    NotifiedEndpoints,
+    assert_attempt_allowed,
+    assert_not_executed_twice,
+    assert_shed_allowed,
+)
 
 DEFAULT_TIMEOUT_US = 400 * US_PER_MS  # of a request
 
@@ -100,6 +106,11 @@
     last_byte_before_us: int = 0
     outcome: Outcome | None = None
 
+    @property
+    def in_flight(self) -> bool:
+        """Whether it has not ended."""
+        return self.outcome is None
+
     @property
     def possibly_executed(self) -> bool:
         """Whether the endpoint may have executed the request, or may yet do so."""
@@ -108,7 +119,7 @@
 
 @dataclass
 class PolicyDriver:
-    """Plays the host program of one policy and asserts the rules at every action.
+    """Plays the caller of one policy and asserts the rules at every action.
 
     Time stands still unless a test advances it.
     """
@@ -122,9 +133,7 @@
     unanswered: dict[RequestId, UnansweredRequest] = field(default_factory=dict)
     answers: dict[RequestId, list[FinalAnswer]] = field(default_factory=dict)
     class_names: dict[RequestId, str] = field(default_factory=dict)
-    listed: dict[EndpointId, Endpoint] = field(default_factory=dict)
-    # When the policy was notified that an endpoint is draining or removed.
-    drain_notified_at_us: dict[EndpointId, int] = field(default_factory=dict)
+    notified: NotifiedEndpoints = field(default_factory=NotifiedEndpoints)
     timers: list[Timer] = field(default_factory=list)
     watch_requests: int = 0
     _new_attempts: list[DrivenAttempt] = field(default_factory=list)
@@ -170,7 +179,7 @@
         self.now_us = end_at_us
 
     def expire_overdue(self) -> None:
-        """Time out attempts past their own expiry or their client's deadline, as the host program must."""
+        """Time out attempts past their own expiry or their client's deadline, as the caller must."""
         overdue = [
             request_id
             for request_id, unanswered in self.unanswered.items()
@@ -196,16 +205,7 @@
     ) -> list[Action]:
         """Notify the policy of an endpoint list."""
         named = {endpoint.id: endpoint for endpoint in entries}
-        if kind in (ListUpdateKind.COMPLETE, ListUpdateKind.CACHED):
-            for endpoint_id in self.listed:
-                if endpoint_id not in named:
-                    self.drain_notified_at_us.setdefault(endpoint_id, self.now_us)
-        for endpoint_id, endpoint in named.items():
-            self.listed[endpoint_id] = endpoint
-            if endpoint.state is EndpointState.READY:
-                self.drain_notified_at_us.pop(endpoint_id, None)
-            else:
-                self.drain_notified_at_us.setdefault(endpoint_id, self.now_us)
+        self.notified.update(named.values(), kind, self.now_us)
         return self.feed(EndpointListUpdate(kind, tuple(named.values())))
 
     def send_request(
@@ -334,22 +334,18 @@
                 assert attempt_number < len(self.attempts_of(request_id))
             case CheckHealth(endpoint_id):
                 assert self.settings.health_checks_allowed
-                assert endpoint_id in self.listed
+                assert endpoint_id in self.notified.latest
             case WatchEndpointList():
                 self.watch_requests += 1
 
     def _check_attempt(self, action: StartAttempt) -> None:
         assert action.request_id in self.unanswered, "an attempt after the request was completed"
         request, deadline_us = self.unanswered[action.request_id]
-        assert self.now_us < deadline_us
-        assert action.endpoint_id in self.listed
-        is_usable = action.endpoint_id not in self.drain_notified_at_us
-        assert is_usable, "an attempt at an endpoint that is draining or removed"
+        assert self.now_us < deadline_us, "an attempt after the deadline"
         earlier = self.attempts_of(action.request_id)
-        assert len(earlier) < self.settings.max_attempts
-        if not self.settings.hedging_allowed:
-            assert all(attempt.outcome is not None for attempt in earlier), "two attempts in flight"
-        self._check_idempotency(action, self._class_of(request), earlier)
+        self.notified.assert_ready(action.endpoint_id)
+        assert_attempt_allowed(self.settings, earlier)
+        assert_not_executed_twice(action, self._class_of(request), earlier, self.notified, self.now_us)
         attempt = DrivenAttempt(
             action.request_id,
             len(earlier),
@@ -361,38 +357,13 @@
         self.attempts.append(attempt)
         self._new_attempts.append(attempt)
 
-    def _check_idempotency(
-        self, action: StartAttempt, request_class: RequestClass, earlier: list[DrivenAttempt]
-    ) -> None:
-        possibly_executed = [attempt for attempt in earlier if attempt.possibly_executed]
-        if not possibly_executed or request_class.idempotency is Idempotency.IDEMPOTENT:
-            return
-        has_key = request_class.idempotency is Idempotency.IDEMPOTENCY_KEY
-        assert has_key, "a retry of a request that must not be executed twice"
-        first = possibly_executed[0]
-        window_end_us = first.started_at_us + request_class.deduplication_window_us
-        assert self.now_us < window_end_us
-        endpoint, first_endpoint = self.listed[action.endpoint_id], self.listed[first.endpoint_id]
-        if request_class.deduplication_scope is DeduplicationScope.ZONE:
-            assert endpoint.zone == first_endpoint.zone
-        if request_class.deduplication_scope is DeduplicationScope.GROUP:
-            assert endpoint.deduplication_group == first_endpoint.deduplication_group
-        assert self.now_us < action.last_byte_before_us <= window_end_us
-
     def _check_answer(self, action: ShedRequest | FailRequest) -> None:
         assert action.request_id in self.unanswered, "a second final answer"
         request, _ = self.unanswered.pop(action.request_id)
         if isinstance(action, ShedRequest):
-            self._check_shed(self._class_of(request), self.attempts_of(request.request_id))
+            assert_shed_allowed(self._class_of(request), self.attempts_of(request.request_id))
         answer = FinalAnswer.SHED if isinstance(action, ShedRequest) else FinalAnswer.FAILED
         self.answers[request.request_id].append(answer)
 
-    def _check_shed(self, request_class: RequestClass, attempts: list[DrivenAttempt]) -> None:
-        possibly_executed = any(attempt.possibly_executed for attempt in attempts)
-        if possibly_executed and request_class.idempotency is not Idempotency.IDEMPOTENT:
-            has_key = request_class.idempotency is Idempotency.IDEMPOTENCY_KEY
-            assert has_key, "a request shed that was possibly executed"
-            assert request_class.deduplication_scope is DeduplicationScope.ALL
-
     def _class_of(self, request: RequestArrived) -> RequestClass:
         return next(known for known in self.classes if known.name == request.class_name)
--- a/tests/support/tracked_endpoints.py
+++ b/tests/support/tracked_endpoints.py
@@ -1,4 +1,4 @@
-"""Tracked endpoints without a balancer around them."""
+"""Tracked endpoints for tests of single modules of the policy."""
 
 from __future__ import annotations
 
--- /dev/null
+++ b/tests/unit/policy/test_balancer.py
@@ -0,0 +1,60 @@
+"""Events that only the balancer itself handles: response streams, and calls to discovery."""
+
+from __future__ import annotations
+
+import pytest
+
+from http_gateway.policy.actions import CancelAttempt
+from http_gateway.policy.balancer import WATCH_RETRY_JITTER, WATCH_RETRY_US, WATCH_TIMER
+from http_gateway.policy.events import ListUpdateKind, Outcome
+from http_gateway.policy.settings import Settings
+from tests.support.policy_driver import CLASSES, FinalAnswer, PolicyDriver
+
+
+def test_response_stream_cancels_the_other_attempts_only() -> None:
+    driver = PolicyDriver(Settings(CLASSES, hedging_allowed=True, cancellation_allowed=True))
+    request_id = driver.send_request()
+    [timer] = driver.take_timers()
+    driver.fire_timer(timer.due_at_us, timer.token)
+    streaming, hedged = driver.in_flight(request_id)
+    assert driver.start_stream(streaming) == [CancelAttempt(request_id, hedged.number)]
+    driver.end_attempt(hedged, Outcome.CANCELLED)
+    driver.end_attempt(streaming, Outcome.OK)
+    assert driver.answers[request_id] == [FinalAnswer.SERVED]
+
+
+def test_attempt_that_streams_is_never_slow() -> None:
+    driver = PolicyDriver(Settings(CLASSES, hedging_allowed=True))
+    request_id = driver.send_request()
+    [timer] = driver.take_timers()
+    driver.start_stream(driver.in_flight(request_id)[0])
+    assert driver.fire_timer(timer.due_at_us, timer.token) == []
+    assert len(driver.attempts_of(request_id)) == 1
+
+
+@pytest.mark.parametrize(
+    ("is_polled", "kind", "watch_requests"),
+    [
+        (True, ListUpdateKind.CACHED, 1),
+        (True, ListUpdateKind.COMPLETE, 0),
+        (True, ListUpdateKind.DELTA, 0),
+        (False, ListUpdateKind.CACHED, 0),
+    ],
+)
+def test_cached_list_starts_a_watch_where_discovery_is_polled(
+    is_polled: bool, kind: ListUpdateKind, watch_requests: int
+) -> None:
+    driver = PolicyDriver(Settings(CLASSES, discovery_is_polled=is_polled), endpoint_count=0)
+    driver.notify_endpoints((), kind)
+    assert driver.watch_requests == watch_requests
+
+
+def test_failed_watch_is_retried_after_a_jittered_pause() -> None:
+    driver = PolicyDriver(Settings(CLASSES, discovery_is_polled=True), endpoint_count=0)
+    driver.notify_endpoints((), ListUpdateKind.FAILED)
+    [timer] = driver.take_timers()
+    assert timer.token == WATCH_TIMER
+    pause_us = timer.due_at_us - driver.now_us
+    assert abs(pause_us - WATCH_RETRY_US) <= WATCH_RETRY_JITTER * WATCH_RETRY_US
+    driver.fire_timer(timer.due_at_us, timer.token)
+    assert driver.watch_requests == 1
