--- a/tests/unit/policy/test_slow_start_traffic.py
+++ b/tests/unit/policy/test_slow_start_traffic.py
@@ -34,7 +34,7 @@
             CLASSES,
             gateway_count=gateway_count,
             initial_capacity=INITIAL_CAPACITY,
-            slow_start_window_us=1000 * US_PER_S,
+            slow_start_window_us=1000 * US_PER_S,  # so long that capacities hardly change
         )
         self._warm_count = warm_count
         self._driver = PolicyDriver(settings, warm_count, seed=5)
@@ -42,9 +42,7 @@
 
     def start_endpoints(self, count: int) -> list[EndpointId]:
         """Add endpoints that are warming up; return their ids."""
-        new = [
-            Endpoint(100 + number, started_at_us=self._driver.now_us) for number in range(count)
-        ]  # a thousand seconds are long, so they do not become warmer
+        new = [Endpoint(100 + number, started_at_us=self._driver.now_us) for number in range(count)]
         self._driver.notify_endpoints((*endpoints(self._warm_count), *new))
         return [endpoint.id for endpoint in new]
 
