--- a/http_gateway/net/request_dispatcher.py
+++ b/http_gateway/net/request_dispatcher.py
@@ -1,4 +1,4 @@
-"""Drives one `Balancer`: events in, actions out, timers and deadlines. It decides nothing."""
+"""Drives one `Balancer`: feeds it events, executes its actions, and keeps its timers and the deadlines."""
 
 from __future__ import annotations
 
@@ -7,13 +7,16 @@
 import math
 from collections import deque
 from collections.abc import Callable
-from dataclasses import dataclass, field
 from functools import partial
+from http import HTTPStatus
 
+from http_gateway.net.client_request import ClientRequest, Response, ResponseCallback
 from http_gateway.net.clock import Clock
 from http_gateway.net.discovery.endpoint_list import EndpointList
-from http_gateway.net.http.messages import Headers, Message
-from http_gateway.net.upstream.pool import UpstreamAttempt, UpstreamPool
+from http_gateway.net.http.messages import Message
+from http_gateway.net.in_flight_request import InFlightRequest, time_out
+from http_gateway.net.upstream.attempt import UpstreamAttempt
+from http_gateway.net.upstream.pool import UpstreamPool
 from http_gateway.policy.actions import (
     Action,
     CancelAttempt,
@@ -23,7 +26,6 @@
     StartAttempt,
 )
 from http_gateway.policy.balancer import Balancer
-from http_gateway.policy.endpoint import EndpointId
 from http_gateway.policy.events import (
     AttemptEnded,
     EndpointListUpdate,
@@ -37,264 +39,254 @@
 )
 from http_gateway.policy.time_units import US_PER_S
 
+__all__ = ["RESPONSE_MARGIN_US", "ClientRequest", "RequestDispatcher", "Response"]
+
 log = logging.getLogger(__name__)
 
-# Microseconds before the client's own limit by which its answer is due: its way here, which the limit counts
-# too, the way back, and a loop that runs late. On a busy core both ways together took 10 ms at the 99th
-# percentile.
+# Microseconds before the client's own limit by which its response is due: the limit includes the network in
+# both directions, and the event loop may run late.
 RESPONSE_MARGIN_US = 15_000
 
 
-@dataclass(frozen=True, slots=True)
-class Response:
-    status: int
-    headers: Headers = field(default_factory=list)
-    body: bytes = b""
-
-
-@dataclass(frozen=True, slots=True)
-class ClientRequest:
-    """A client's request as the module wants it, and as a host does."""
-
-    message: Message
-    class_name: str
-    timeout_us: int
-    cost_us: int = 0
-    key: str | None = None
-    is_client_retry: bool = False
-    tenant: str = ""
-
-
-@dataclass(slots=True)
-class _Sent:
-    server: EndpointId
-    at: int
-    attempt: UpstreamAttempt | None = None
-    over: bool = False
-
-
-@dataclass(slots=True)
-class _Held:
-    """A request with its answer owed, or attempts out."""
-
-    asked: ClientRequest
-    reply: Callable[[Response], None] | None  # None once the final answer is given, or the client gone
-    left: Callable[[], bool]
-    deadline: int
-    timer: asyncio.TimerHandle | None = None
-    sent: list[_Sent] = field(default_factory=list)
-
-
 class RequestDispatcher:
+    """Has every submitted request answered exactly once, as the policy decides."""
+
     def __init__(self, balancer: Balancer, pool: UpstreamPool) -> None:
         self._balancer = balancer
         self._pool = pool
         self._clock = Clock()
         self._loop = asyncio.get_running_loop()
-        self._held: dict[RequestId, _Held] = {}
-        self._last = 0
+        self._requests: dict[RequestId, InFlightRequest] = {}
+        self._submitted_count = 0
         self._events: deque[Event] = deque()
-        self._working = False
-        self.has_endpoint_list = False
+        self._is_handling_events = False
+        self._has_endpoint_list = False
+
+    @property
+    def has_endpoint_list(self) -> bool:
+        """Whether a list with endpoints has been received or read from the cache."""
+        return self._has_endpoint_list
 
     @property
     def unanswered_count(self) -> int:
-        """How many requests are owed an answer."""
-        return sum(held.reply is not None for held in self._held.values())
+        """How many requests need a response."""
+        return sum(request.needs_response for request in self._requests.values())
 
     @property
     def in_flight_count(self) -> int:
-        """How many requests need an answer, or have attempts in flight."""
-        return len(self._held)
+        """How many requests need a response, or have attempts in flight."""
+        return len(self._requests)
 
     @property
     def submitted_count(self) -> int:
-        """How many requests there have been."""
-        return self._last
+        """How many requests have been submitted."""
+        return self._submitted_count
 
     def update_endpoints(self, endpoint_list: EndpointList, is_cached: bool = False) -> None:
-        whole = endpoint_list.is_complete or is_cached
-        update = (
-            ListUpdateKind.CACHED if is_cached else ListUpdateKind.COMPLETE if whole else ListUpdateKind.DELTA
-        )
-        self.has_endpoint_list = self.has_endpoint_list or bool(endpoint_list.entries)
-        # The module first: what can't be sent to a host that leaves would go to another that does.
-        self._feed(EndpointListUpdate(update, tuple(entry.endpoint for entry in endpoint_list.entries)))
-        self._pool.update_endpoints(endpoint_list.entries, whole)
+        """Apply an endpoint list.
+
+        The policy is notified before the pool: an attempt that the pool ends at a draining endpoint must not
+        be retried at another one that the same list drains.
+        """
+        self._has_endpoint_list = self._has_endpoint_list or bool(endpoint_list.entries)
+        endpoints = tuple(entry.endpoint for entry in endpoint_list.entries)
+        self._feed(EndpointListUpdate(_update_kind(endpoint_list, is_cached), endpoints))
+        self._pool.update_endpoints(endpoint_list.entries, endpoint_list.is_complete or is_cached)
 
     def submit(
         self,
-        asked: ClientRequest,
-        reply: Callable[[Response], None],
-        left: Callable[[], bool] = lambda: False,
+        client_request: ClientRequest,
+        respond: ResponseCallback,
+        has_client_disconnected: Callable[[], bool] = lambda: False,
     ) -> RequestId:
-        """A client asks; `reply` is called exactly once, unless it leaves.
-
-        `left` tells whether it has gone without our having been told of it yet.
-        """
-        self._last += 1
-        timeout = max(1, asked.timeout_us - RESPONSE_MARGIN_US)
-        held = _Held(asked, reply, left, self._clock.now_us() + timeout)
-        self._held[self._last] = held
-        held.timer = self._loop.call_later(timeout / US_PER_S, self._expire, self._last)
-        request = self._last
-        self._feed(
-            RequestArrived(
-                request,
-                asked.class_name,
-                timeout,
-                asked.cost_us,
-                asked.key,
-                asked.is_client_retry,
-                asked.tenant,
-            )
-        )
-        return request
-
-    def abandon(self, request: RequestId) -> None:
-        """The client closed its connection: nothing is owed, and nothing may be sent to it any more."""
-        held = self._held.get(request)
-        if held is not None and held.reply is not None:
-            held.reply = None
-            self._feed(RequestAbandoned(request))
-            self._forget(request)
+        """Have a request served; `respond` is called exactly once, unless the request is abandoned."""
+        self._submitted_count += 1
+        request_id = self._submitted_count
+        timeout_us = max(1, client_request.timeout_us - RESPONSE_MARGIN_US)
+        deadline_at_us = self._clock.now_us() + timeout_us
+        request = InFlightRequest(client_request, respond, has_client_disconnected, deadline_at_us)
+        self._requests[request_id] = request
+        self._start_deadline_timer(request_id, request, timeout_us)
+        self._feed(_arrival(request_id, client_request, timeout_us))
+        return request_id
+
+    def abandon(self, request_id: RequestId) -> None:
+        """The client has disconnected: send neither a response nor another attempt."""
+        request = self._requests.get(request_id)
+        if request is not None and request.needs_response:
+            request.abandon()
+            self._feed(RequestAbandoned(request_id))
+            self._release_if_answered(request_id)
 
     def _feed(self, event: Event) -> None:
-        """Hand events to the module one by one: carrying out an action may bring the next."""
+        """Have the policy handle events one by one: executing an action may cause the next event."""
         self._events.append(event)
-        if self._working:
+        if self._is_handling_events:
             return
-        self._working = True
+        self._is_handling_events = True
         try:
             while self._events:
                 self._handle(self._events.popleft())
         finally:
-            self._working = False
+            self._is_handling_events = False
 
     def _handle(self, event: Event) -> None:
+        """Handle one event; a fault fails its own request, and neither the process nor another request."""
         try:
             for action in self._balancer.handle(event, self._clock.now_us()):
-                self._do(action)
+                self._execute(action)
             if isinstance(event, RequestArrived | AttemptEnded):
-                self._forget(event.request_id)
+                self._release_if_answered(event.request_id)
         except Exception:
-            # One request must not end the process, nor be left without an answer.
-            log.exception("failed on %s", type(event).__name__)
+            log.exception("event handling failed event=%s", type(event).__name__)
             if isinstance(event, RequestArrived | AttemptEnded):
-                self._give_up(event.request_id, 500)
+                self._fail(event.request_id, HTTPStatus.INTERNAL_SERVER_ERROR)
 
-    def _do(self, action: Action) -> None:
+    def _execute(self, action: Action) -> None:
         match action:
-            case StartAttempt(request, server, expires, last_byte):
-                self._send(request, server, expires, last_byte)
-            case CancelAttempt(request, number):
-                held = self._held.get(request)
-                attempt = held.sent[number].attempt if held else None
-                if attempt is not None:
-                    attempt.stop(Outcome.CANCELLED)
-            case ShedRequest(request, retry_after):
-                advice = [(b"retry-after", b"%.3f" % (retry_after / US_PER_S))] if retry_after else []
-                self._answer(request, Response(503, advice))
-            case FailRequest(request):
-                self._answer(request, Response(502))
-            case SetTimer(delay, token):
-                self._loop.call_later(delay / US_PER_S, self._feed, TimerFired(token))
+            case StartAttempt():
+                self._start_attempt(action)
+            case CancelAttempt(request_id, attempt_number):
+                self._cancel_attempt(request_id, attempt_number)
+            case ShedRequest(request_id, retry_after_us):
+                self._respond(request_id, _shed_response(retry_after_us))
+            case FailRequest(request_id):
+                self._respond(request_id, Response(HTTPStatus.BAD_GATEWAY))
+            case SetTimer(delay_us, token):
+                self._loop.call_later(delay_us / US_PER_S, self._feed, TimerFired(token))
             case _:
-                # Subscribe: the watch always runs. This module sends no probes.
+                # WatchEndpointList: the watch always runs. CheckHealth: no health checks are sent.
                 pass
 
-    def _send(self, request: RequestId, server: EndpointId, expires: int, last_byte: int) -> None:
-        held = self._held[request]
-        now = self._clock.now_us()
-        number, sent = len(held.sent), _Sent(server, now)
-        held.sent.append(sent)
-        until = min(expires or held.deadline, held.deadline)
-
-        def ended(_: UpstreamAttempt, outcome: Outcome, answer: Message | None) -> None:
-            self._ended(request, number, outcome, answer)
-
-        attempt = None
-        if held.reply is not None and until > now:  # no attempt leaves after the final answer
-            due = self._loop.time() + (until - now) / US_PER_S
-            wanted = partial(self._wanted, request)
-            leave_by = self._loop.time() + (last_byte - now) / US_PER_S if last_byte else math.inf
-            for other in held.sent:
-                if other.attempt is not None:
-                    other.attempt.limit_last_byte(leave_by)
-            attempt = self._pool.start_attempt(server, held.asked.message, due, ended, wanted, leave_by)
-        if attempt is None:
-            self._ended(request, number, Outcome.NOT_SENT, None)
-        elif not sent.over:
-            sent.attempt = attempt
-            if until < held.deadline:
-                self._loop.call_later((until - now) / US_PER_S, _time_out, attempt)
-
-    def _wanted(self, request: RequestId) -> bool:
-        """Asked right before a request is written: a loop that runs late learns of its client's end late."""
-        held = self._held.get(request)
-        if held is not None and held.reply is not None and held.left():
-            self.abandon(request)
-        return held is not None and held.reply is not None
-
-    def _ended(self, request: RequestId, number: int, outcome: Outcome, answer: Message | None) -> None:
-        held = self._held[request]
-        sent = held.sent[number]
-        sent.over, sent.attempt = True, None
-        if outcome is Outcome.OK and answer is not None:
-            self._answer(request, Response(200, answer.headers, answer.body))
-        latency = self._clock.now_us() - sent.at
+    def _start_attempt(self, action: StartAttempt) -> None:
+        request = self._requests[action.request_id]
+        now_us = self._clock.now_us()
+        number = request.add_attempt(action.endpoint_id, now_us)
+        attempt = request.attempts[number]
+        expires_at_us = min(action.expires_at_us or request.deadline_at_us, request.deadline_at_us)
+        upstream_attempt = None
+        if request.needs_response and expires_at_us > now_us:
+            upstream_attempt = self._start_upstream_attempt(action, request, number, expires_at_us, now_us)
+        if upstream_attempt is None:
+            self._attempt_ended(action.request_id, number, Outcome.NOT_SENT, None)
+        elif not attempt.has_ended:
+            attempt.start(upstream_attempt)
+            if expires_at_us < request.deadline_at_us:
+                self._loop.call_later((expires_at_us - now_us) / US_PER_S, time_out, upstream_attempt)
+
+    def _start_upstream_attempt(
+        self, action: StartAttempt, request: InFlightRequest, number: int, expires_at_us: int, now_us: int
+    ) -> UpstreamAttempt | None:
+        expires_at_s = self._loop.time() + (expires_at_us - now_us) / US_PER_S
+        last_byte_before_s = math.inf
+        if action.last_byte_before_us:
+            last_byte_before_s = self._loop.time() + (action.last_byte_before_us - now_us) / US_PER_S
+        request.limit_last_byte(last_byte_before_s)
+        return self._pool.start_attempt(
+            action.endpoint_id,
+            request.client_request.message,
+            expires_at_s,
+            on_end=partial(self._attempt_ended, action.request_id, number),
+            is_wanted=partial(self._is_wanted, action.request_id),
+            last_byte_before_s=last_byte_before_s,
+        )
+
+    def _cancel_attempt(self, request_id: RequestId, attempt_number: int) -> None:
+        request = self._requests.get(request_id)
+        attempt = request.attempts[attempt_number].upstream_attempt if request is not None else None
+        if attempt is not None:
+            attempt.stop(Outcome.CANCELLED)
+
+    def _is_wanted(self, request_id: RequestId) -> bool:
+        """Whether the client still waits; on a late event loop its disconnect may not have been handled."""
+        request = self._requests.get(request_id)
+        if request is not None and request.needs_response and request.has_client_disconnected():
+            self.abandon(request_id)
+        return request is not None and request.needs_response
+
+    def _attempt_ended(
+        self, request_id: RequestId, attempt_number: int, outcome: Outcome, response: Message | None
+    ) -> None:
+        request = self._requests[request_id]
+        attempt = request.attempts[attempt_number]
+        attempt.end()
+        if outcome is Outcome.OK and response is not None:
+            request.respond(Response(HTTPStatus.OK, response.headers, response.body))
         self._feed(
-            AttemptEnded(request, number, sent.server, outcome, latency, request_completed=held.reply is None)
+            AttemptEnded(
+                request_id,
+                attempt_number,
+                attempt.endpoint_id,
+                outcome,
+                latency_us=self._clock.now_us() - attempt.started_at_us,
+                request_completed=not request.needs_response,
+            )
         )
-        self._forget(request)
-
-    def _answer(self, request: RequestId, answer: Response) -> None:
-        held = self._held.get(request)
-        if held is not None and held.reply is not None:
-            reply, held.reply = held.reply, None
-            reply(answer)
-
-    def _forget(self, request: RequestId) -> None:
-        """Nothing more may leave for a request that is over; once all attempts have ended, drop it."""
-        held = self._held.get(request)
-        if held is None or held.reply is not None:
+        self._release_if_answered(request_id)
+
+    def _respond(self, request_id: RequestId, response: Response) -> None:
+        request = self._requests.get(request_id)
+        if request is not None:
+            request.respond(response)
+
+    def _release_if_answered(self, request_id: RequestId) -> None:
+        """Write nothing more for a request without a waiting client; release it once all attempts end."""
+        request = self._requests.get(request_id)
+        if request is None or request.needs_response:
             return
-        for sent in held.sent:
-            if sent.attempt is not None and not sent.attempt.is_written:  # its connection may yet come up
-                sent.attempt.stop(Outcome.CANCELLED)
-        if request in self._held and all(sent.over for sent in held.sent):
-            if held.timer is not None:
-                held.timer.cancel()
-            del self._held[request]
-
-    def _expire(self, request: RequestId) -> None:
-        """The client's time is up: what is out has timed out, and the module answers."""
-        held = self._held.get(request)
-        if held is None:
+        request.cancel_unwritten_attempts()
+        if request_id in self._requests and request.is_finished:
+            request.cancel_deadline_timer()
+            del self._requests[request_id]
+
+    def _start_deadline_timer(
+        self, request_id: RequestId, request: InFlightRequest, remaining_us: int
+    ) -> None:
+        timer = self._loop.call_later(remaining_us / US_PER_S, self._expire, request_id)
+        request.set_deadline_timer(timer)
+
+    def _expire(self, request_id: RequestId) -> None:
+        """Time out the attempts of a request at its deadline, which makes the policy answer it."""
+        request = self._requests.get(request_id)
+        if request is None:
             return
-        early = held.deadline - self._clock.now_us()
-        if early > 0:  # the loop's clock is coarser; the module must see that the time is up
-            held.timer = self._loop.call_later(early / US_PER_S, self._expire, request)
+        remaining_us = request.deadline_at_us - self._clock.now_us()
+        if remaining_us > 0:  # the loop's clock is coarser than the one that the policy is given
+            self._start_deadline_timer(request_id, request, remaining_us)
             return
-        for sent in held.sent:
-            if sent.attempt is not None:
-                _time_out(sent.attempt)
-        self._give_up(request, 504)  # only if the module holds it still
-
-    def _give_up(self, request: RequestId, status: int) -> None:
-        """An answer of the gateway's own: a fault must not leave a client without one."""
-        held = self._held.get(request)
-        if held is None or held.reply is None:
+        request.time_out_attempts()
+        self._fail(request_id, HTTPStatus.GATEWAY_TIMEOUT)
+
+    def _fail(self, request_id: RequestId, status: HTTPStatus) -> None:
+        """Answer a request for which the policy gave no response; does nothing if it has one."""
+        request = self._requests.get(request_id)
+        if request is None or not request.needs_response:
             return
-        log.error("request %d had no answer from the module", request)
-        self._answer(request, Response(status))
-        self._feed(RequestAbandoned(request))
-        for sent in held.sent:
-            if sent.attempt is not None:
-                sent.attempt.stop(Outcome.CANCELLED)
-        self._forget(request)
-
-
-def _time_out(attempt: UpstreamAttempt) -> None:
-    # With its last byte still here the host never had it, and the client may try again without harm.
-    attempt.stop(Outcome.TIMEOUT if attempt.is_written else Outcome.NOT_SENT)
+        log.error("policy gave no response request_id=%d status=%d", request_id, status)
+        request.respond(Response(status))
+        self._feed(RequestAbandoned(request_id))
+        request.cancel_attempts()
+        self._release_if_answered(request_id)
+
+
+def _update_kind(endpoint_list: EndpointList, is_cached: bool) -> ListUpdateKind:
+    if is_cached:
+        return ListUpdateKind.CACHED
+    return ListUpdateKind.COMPLETE if endpoint_list.is_complete else ListUpdateKind.DELTA
+
+
+def _arrival(request_id: RequestId, client_request: ClientRequest, timeout_us: int) -> RequestArrived:
+    return RequestArrived(
+        request_id,
+        client_request.class_name,
+        timeout_us,
+        client_request.cost_us,
+        client_request.key,
+        client_request.is_client_retry,
+        client_request.tenant,
+    )
+
+
+def _shed_response(retry_after_us: int) -> Response:
+    headers = [(b"retry-after", b"%.3f" % (retry_after_us / US_PER_S))] if retry_after_us else []
+    return Response(HTTPStatus.SERVICE_UNAVAILABLE, headers)
--- /dev/null
+++ b/tests/integration/test_upstream_endpoints.py
@@ -0,0 +1,108 @@
+"""What becomes of connections and attempts when the endpoint list changes or a limit is reached."""
+
+from __future__ import annotations
+
+import asyncio
+
+from http_gateway.net.discovery.endpoint_list import endpoint_id
+from http_gateway.net.http.messages import Message
+from http_gateway.policy.events import Outcome
+from tests.support.loopback import (
+    async_test,
+    never_respond,
+    respond_with,
+    start_peers,
+    wait_until,
+)
+from tests.support.upstream import CHAPTER_ADD, PAGE_READ, AttemptDriver
+
+
+@async_test
+async def test_draining_endpoint_gets_no_attempt_and_its_idle_connections_close() -> None:
+    async with start_peers(respond_with()) as (endpoint,):
+        driver = AttemptDriver(endpoint.port)
+        await driver.run()
+        driver.drain_endpoint()
+        assert driver.start() is None
+        await wait_until(lambda: endpoint.closed == 1)
+        assert len(endpoint.requests) == 1
+
+
+@async_test
+async def test_attempt_still_connecting_to_a_draining_endpoint_is_not_sent() -> None:
+    async with start_peers(respond_with()) as (endpoint,):
+        driver = AttemptDriver(endpoint.port)
+        driver.start()  # it connects in a later turn of the loop
+        driver.drain_endpoint()
+        assert [end.outcome for end in driver.ends] == [Outcome.NOT_SENT]
+        await driver.wait_until_disconnected()
+        assert not endpoint.requests
+
+
+@async_test
+async def test_attempt_still_connecting_to_a_restarted_endpoint_is_not_sent() -> None:
+    """It was started for a warm endpoint; the new process at the same address is in slow start."""
+    async with start_peers(respond_with()) as (endpoint,):
+        driver = AttemptDriver(endpoint.port)
+        driver.start()
+        driver.update_endpoint(started_at_us=5)
+        assert [end.outcome for end in driver.ends] == [Outcome.NOT_SENT]
+        await driver.wait_until_disconnected()
+        assert not endpoint.requests
+
+
+@async_test
+async def test_restarted_endpoint_gets_a_new_connection() -> None:
+    async with start_peers(respond_with()) as (endpoint,):
+        driver = AttemptDriver(endpoint.port)
+        await driver.run()
+        driver.update_endpoint(started_at_us=5)
+        assert (await driver.run()).outcome is Outcome.OK
+        assert endpoint.connections == 2
+
+
+@async_test
+async def test_attempt_in_flight_at_a_draining_endpoint_is_waited_for() -> None:
+    async with start_peers(never_respond) as (endpoint,):
+        driver = AttemptDriver(endpoint.port)
+        driver.start()
+        await wait_until(lambda: endpoint.requests)
+        driver.drain_endpoint()
+        await respond_with()(endpoint.requests[0], endpoint.request_writers[0])
+        await wait_until(lambda: driver.ends)
+        assert driver.ends[0].outcome is Outcome.OK
+        await wait_until(lambda: endpoint.closed)
+
+
+@async_test
+async def test_longest_idle_connection_is_closed_at_the_connection_limit() -> None:
+    async with start_peers(respond_with(), respond_with()) as (endpoint, other):
+        driver = AttemptDriver(endpoint.port, max_connections=1)
+        await driver.run()
+        driver.pool.update_endpoints([other.endpoint_entry()], is_complete=False)
+        outcomes: list[Outcome] = []
+
+        def record_outcome(outcome: Outcome, response: Message | None) -> None:
+            outcomes.append(outcome)
+
+        expires_at_s = asyncio.get_running_loop().time() + 30
+        for _ in range(2):  # the second attempt finds no connection that is idle
+            attempt = driver.pool.start_attempt(
+                endpoint_id(other.name), PAGE_READ, expires_at_s, record_outcome
+            )
+            if attempt is None:
+                outcomes.append(Outcome.NOT_SENT)
+        await wait_until(lambda: len(outcomes) == 2)
+        assert outcomes == [Outcome.NOT_SENT, Outcome.OK]
+        await wait_until(lambda: endpoint.closed)
+
+
+@async_test
+async def test_attempt_beyond_the_connection_limit_does_not_end_a_second_time() -> None:
+    """Its limit for the last byte passes after the pool has declined it."""
+    async with start_peers(respond_with()) as (endpoint,):
+        driver = AttemptDriver(endpoint.port, max_connections=0)
+        last_byte_before_s = asyncio.get_running_loop().time() + 0.05
+        assert driver.start(CHAPTER_ADD, last_byte_before_s) is None
+        await asyncio.sleep(0.1)
+        assert not driver.ends
--- /dev/null
+++ b/tests/integration/test_upstream_reuse.py
@@ -0,0 +1,213 @@
+"""Which connections are used for another attempt."""
+
+from __future__ import annotations
+
+import asyncio
+import select
+from collections.abc import Awaitable, Callable
+
+import pytest
+
+from http_gateway.net.http.messages import Message
+from http_gateway.net.upstream import connection
+from http_gateway.policy.events import Outcome
+from tests.support.loopback import (
+    LoopbackPeer,
+    async_test,
+    never_respond,
+    respond_with,
+    running_gateway,
+    start_peers,
+    wait_until,
+)
+from tests.support.upstream import (
+    CHAPTER_ADD,
+    ENDPOINT_ID,
+    PAGE_READ,
+    PAGE_RESPONSE,
+    AttemptDriver,
+    wait_for_requests,
+)
+
+REJECT = respond_with(503, X_Not_Run="1")
+
+
+@async_test
+async def test_idle_connection_is_used_again() -> None:
+    async with start_peers(respond_with()) as (endpoint,):
+        driver = AttemptDriver(endpoint.port)
+        for _ in range(3):
+            assert (await driver.run()).outcome is Outcome.OK
+        assert endpoint.connections == 1
+
+
+@async_test
+async def test_most_recently_used_idle_connection_is_taken() -> None:
+    async with start_peers(never_respond) as (endpoint,):
+        driver = AttemptDriver(endpoint.port)
+        driver.start()
+        driver.start()
+        await wait_for_requests(endpoint, 2)
+        first, second = endpoint.request_writers
+        await respond_with()(PAGE_READ, second)
+        await driver.wait_for_ends(1)
+        await respond_with()(PAGE_READ, first)
+        await driver.wait_for_ends(2)
+        await driver.settle()
+        driver.start()
+        await wait_for_requests(endpoint, 3)
+        await respond_with(body=b"again")(PAGE_READ, first)
+        await driver.wait_for_ends(3)
+        response = driver.ends[-1].response
+        assert response is not None
+        assert response.body == b"again"
+
+
+async def _close_by_endpoint(endpoint: LoopbackPeer, driver: AttemptDriver) -> None:
+    endpoint.writers[0].close()
+    await driver.wait_until_disconnected()
+
+
+async def _send_unrequested_response(endpoint: LoopbackPeer, driver: AttemptDriver) -> None:
+    endpoint.writers[0].write(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray")
+    await driver.wait_until_disconnected()
+
+
+async def _reach_idle_timeout(endpoint: LoopbackPeer, driver: AttemptDriver) -> None:
+    await driver.wait_until_disconnected()
+
+
+@pytest.mark.parametrize(
+    ("end_idle_connection", "idle_timeout_s"),
+    [(_close_by_endpoint, 60.0), (_send_unrequested_response, 60.0), (_reach_idle_timeout, 0.1)],
+)
+@async_test
+async def test_closed_connection_is_not_used_again(
+    end_idle_connection: Callable[[LoopbackPeer, AttemptDriver], Awaitable[None]], idle_timeout_s: float
+) -> None:
+    async with start_peers(respond_with()) as (endpoint,):
+        driver = AttemptDriver(endpoint.port, idle_timeout_s=idle_timeout_s)
+        await driver.run()
+        await end_idle_connection(endpoint, driver)
+        assert await driver.run_and_read_body() == b"page"
+        assert endpoint.connections == 2
+
+
+@pytest.mark.parametrize("unread", [b"", PAGE_RESPONSE])
+@async_test
+async def test_connection_with_unread_bytes_or_end_is_not_used_again(unread: bytes) -> None:
+    """Its end, or a second copy of the response, is in the socket, but the loop has not read it yet."""
+    async with start_peers(respond_with(body=b"good")) as (endpoint,):
+        driver = AttemptDriver(endpoint.port)
+        await driver.run()
+        transport = driver.idle_transport()
+        transport.pause_reading()
+        if unread:
+            endpoint.writers[0].write(unread)
+        else:
+            endpoint.writers[0].close()
+        gateway_socket = transport.get_extra_info("socket")
+        await wait_until(lambda: select.select([gateway_socket], [], [], 0)[0])
+        assert await driver.run_and_read_body() == b"good"
+        assert endpoint.connections == 2
+
+
+@async_test
+async def test_connection_with_the_start_of_another_response_is_not_used_again() -> None:
+    async def script(request: Message, writer: asyncio.StreamWriter) -> None:
+        head = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n"
+        writer.write(head + (b"page" + head if len(endpoint.requests) == 1 else b"next"))
+
+    async with start_peers(script) as (endpoint,):
+        driver = AttemptDriver(endpoint.port)
+        await driver.run()
+        assert await driver.run_and_read_body() == b"next"
+        assert endpoint.connections == 2
+
+
+@pytest.mark.parametrize(
+    "excess", [b"\x00\r\nnoise", PAGE_RESPONSE, b"HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n"]
+)
+@async_test
+async def test_complete_response_counts_but_excess_bytes_end_its_connection(excess: bytes) -> None:
+    async def script(request: Message, writer: asyncio.StreamWriter) -> None:
+        writer.write(PAGE_RESPONSE + (excess if len(endpoint.requests) == 1 else b""))
+
+    async with start_peers(script) as (endpoint,):
+        driver = AttemptDriver(endpoint.port)
+        for _ in range(2):
+            assert await driver.run_and_read_body() == b"page"
+        assert endpoint.connections == 2
+
+
+@async_test
+async def test_response_with_connection_close_ends_its_connection() -> None:
+    async def script(request: Message, writer: asyncio.StreamWriter) -> None:
+        writer.write(b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
+
+    async with start_peers(script) as (endpoint,):
+        driver = AttemptDriver(endpoint.port)
+        await driver.run()
+        await driver.wait_until_disconnected()
+
+
+@async_test
+async def test_late_second_response_is_not_taken_for_another_request(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A response does not name its request; this one arrives while the next request is in flight."""
+    monkeypatch.setattr(connection, "RESPONSE_SETTLE_S", 60.0)
+
+    async def script(request: Message, writer: asyncio.StreamWriter) -> None:
+        writer.write(PAGE_RESPONSE)
+        if len(endpoint.requests) == 2:
+            endpoint.request_writers[0].write(PAGE_RESPONSE.replace(b"page", b"late"))
+            if writer is endpoint.request_writers[0]:
+                return
+            await wait_until(lambda: endpoint.closed)  # the gateway has read it and closed the connection
+
+    async with (
+        start_peers(script) as (endpoint,),
+        running_gateway(endpoint.endpoint_entry()) as gateway,
+    ):
+        client = await gateway.connect()
+        assert (await client.request()).body == b"page"
+        assert (await client.request()).body == b"page"
+        await wait_until(lambda: endpoint.closed)
+        assert endpoint.connections == 2
+
+
+@async_test
+async def test_second_copy_of_a_rejection_is_not_taken_for_another_request(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """By the copy, a request that must not be executed twice would be retried at another endpoint."""
+    monkeypatch.setattr(connection, "RESPONSE_SETTLE_S", 0.0)
+
+    async def script(request: Message, writer: asyncio.StreamWriter) -> None:
+        if writer is endpoint.request_writers[0]:
+            await REJECT(request, writer)
+        await respond_with()(request, writer)  # the request is executed, even after the copy
+
+    async with start_peers(REJECT) as (endpoint,):
+        driver = AttemptDriver(endpoint.port)
+        assert (await driver.run(CHAPTER_ADD)).outcome is Outcome.REJECTED
+        endpoint.script = script
+        assert (await driver.run(CHAPTER_ADD)).outcome is Outcome.OK
+        assert endpoint.connections == 2
+
+
+@async_test
+async def test_idle_connections_with_rejections_do_not_accumulate() -> None:
+    async with start_peers(REJECT) as (endpoint,):
+        driver = AttemptDriver(endpoint.port)
+        for _ in range(5):
+            assert (await driver.run(CHAPTER_ADD)).outcome is Outcome.REJECTED
+            assert len(driver.pool.idle_connections(ENDPOINT_ID)) == 1
+        assert endpoint.connections == 5
+
+
+@async_test
+async def test_connection_with_a_rejection_is_used_again_for_safe_requests() -> None:
+    async with start_peers(REJECT) as (endpoint,):
+        driver = AttemptDriver(endpoint.port)
+        assert [(await driver.run(PAGE_READ)).outcome for _ in range(3)] == [Outcome.REJECTED] * 3
+        assert endpoint.connections == 1
--- a/tests/support/races.py
+++ b/tests/support/races.py
@@ -10,7 +10,6 @@
 import pytest
 
 from http_gateway.net.frontend.listener import ClientConnection
-from http_gateway.net.upstream import pool
 from http_gateway.policy.actions import Action
 from http_gateway.policy.events import AttemptEnded, Event, Outcome
 from tests.support.loopback import (
@@ -65,7 +64,7 @@
     """One connection to the host stands idle, and may be used."""
     assert (await gateway.request()).status == 200
     (idle,) = gateway.pool.idle_connections(host.endpoint_entry().endpoint.id)
-    await wait_until(lambda: asyncio.get_running_loop().time() - idle.idle_since > pool.SETTLE_TIME)
+    await wait_until(lambda: idle.is_settled(asyncio.get_running_loop().time()))
     await wait_until(lambda: not gateway.frontend.connections)
 
 
--- /dev/null
+++ b/tests/support/retries.py
@@ -0,0 +1,49 @@
+"""Request classes with a deduplication window, and the order in which endpoints are tried."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+from typing import Any
+
+from http_gateway.net.http.messages import Message
+from http_gateway.policy.settings import DeduplicationScope, Idempotency, RequestClass, Settings
+from http_gateway.policy.time_units import US_PER_MS, US_PER_S
+from tests.support.loopback import LoopbackClient, LoopbackPeer, RunningGateway
+
+DEDUPLICATION_WINDOW_US = 300 * US_PER_MS
+DEDUPLICATION_WINDOW_S = DEDUPLICATION_WINDOW_US / US_PER_S
+ADD_IN_GROUP = RequestClass(
+    "chapter-add",
+    400 * US_PER_MS,
+    20_000 * US_PER_MS,
+    Idempotency.IDEMPOTENCY_KEY,
+    DeduplicationScope.GROUP,
+    DEDUPLICATION_WINDOW_US,
+)
+ADD_ANYWHERE = replace(ADD_IN_GROUP, name="chapter-put", deduplication_scope=DeduplicationScope.ALL)
+RETRY_SETTINGS = Settings(
+    (ADD_IN_GROUP, ADD_ANYWHERE), max_attempts=5, hedging_allowed=True, cancellation_allowed=True
+)
+KEY_HEADERS = {"Idempotency-Key": "5c0f"}
+
+
+def prefer_endpoints(gateway: RunningGateway, *peers: LoopbackPeer) -> None:
+    """Have the policy try the endpoints in this order."""
+    order = [peer.endpoint_entry().endpoint.id for peer in peers]
+    known = gateway.balancer._endpoints._endpoints
+
+    def candidates(key: str | None) -> Any:
+        return iter([known[endpoint_id] for endpoint_id in order if endpoint_id in known])
+
+    gateway.balancer._selector._candidates = candidates  # type: ignore[method-assign]
+    for place, endpoint_id in enumerate(order):
+        known[endpoint_id].load.latency_ratio = 1.0 + place
+        known[endpoint_id].load.latency_ratio_at_us = 2**62
+
+
+async def request_with_key(
+    gateway: RunningGateway, request_class: RequestClass
+) -> tuple[LoopbackClient, Message]:
+    """Make a request with an idempotency key; return its client, still connected, and the response."""
+    client = await gateway.connect()
+    return client, await client.request(request_class.name, KEY_HEADERS)
--- a/tests/support/upstream.py
+++ b/tests/support/upstream.py
@@ -1,25 +1,47 @@
-"""Makes attempts at one endpoint without a dispatcher."""
+"""Helpers for tests of connections to endpoints, with and without a dispatcher."""
 
 from __future__ import annotations
 
 import asyncio
+import math
+import socket
+from collections.abc import Callable
+from typing import Any, NamedTuple
+
+import pytest
 
 from http_gateway.net.discovery.endpoint_list import EndpointEntry, endpoint_id
 from http_gateway.net.http.messages import Message
-from http_gateway.net.upstream import pool
-from http_gateway.net.upstream.pool import UpstreamAttempt, UpstreamPool
-from http_gateway.policy.endpoint import Endpoint, EndpointState
-from http_gateway.policy.events import Outcome
-from tests.support.loopback import (
-    wait_until,
-)
+from http_gateway.net.request_dispatcher import RequestDispatcher
+from http_gateway.net.upstream.attempt import UpstreamAttempt
+from http_gateway.net.upstream.pool import UpstreamPool
+from http_gateway.policy.endpoint import Endpoint, EndpointId, EndpointState
+from http_gateway.policy.events import Outcome, RequestId
+from tests.support.loopback import LoopbackPeer, wait_until
+
+ENDPOINT_ID = endpoint_id("s-0")
+ATTEMPT_TIMEOUT_S = 30.0
+SMALL_BUFFER_BYTES = 4096
+
+PAGE_READ = Message(b"GET", b"/page-read", headers=[(b"x-request-id", b"1")])
+CHAPTER_ADD = Message(b"POST", b"/chapter-add", headers=[(b"x-request-id", b"1")], body=b"text")
+PAGE_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\npage"
+
+
+def chapter_add(body_bytes: int) -> Message:
+    """A request that is not safe, with a body of this size."""
+    return Message(b"POST", b"/chapter-add", headers=CHAPTER_ADD.headers, body=bytes(body_bytes))
 
-HOST = endpoint_id("s-0")
-PAGE = Message(b"GET", b"/page-read", headers=[(b"x-request-id", b"1")])
 
+class AttemptEnd(NamedTuple):
+    """How an attempt ended."""
 
-class Sender:
-    """Sends to one host and keeps what came of each attempt."""
+    outcome: Outcome
+    response: Message | None
+
+
+class AttemptDriver:
+    """Makes attempts at one endpoint without a dispatcher, and records how each ended."""
 
     def __init__(
         self,
@@ -29,31 +51,147 @@
         connect_timeout_s: float = 1.0,
     ) -> None:
         self.pool = UpstreamPool(connect_timeout_s, idle_timeout_s, max_connections)
-        self.ends: list[tuple[Outcome, Message | None]] = []
-        self.attempt: UpstreamAttempt | None = None
-        self.list(port)
+        self.ends: list[AttemptEnd] = []
+        self.is_client_waiting = True
+        self._port = port
+        self.update_endpoint()
+
+    def update_endpoint(self, **fields: Any) -> None:
+        """Apply an endpoint list that has the endpoint with these fields."""
+        entry = EndpointEntry(Endpoint(ENDPOINT_ID, **fields), ("127.0.0.1", self._port))
+        self.pool.update_endpoints([entry], is_complete=False)
 
-    def list(self, port: int, state: EndpointState = EndpointState.READY) -> None:
-        self.pool.update_endpoints(
-            [EndpointEntry(Endpoint(HOST, state), ("127.0.0.1", port))], is_complete=False
+    def drain_endpoint(self) -> None:
+        """Apply an endpoint list by which the endpoint drains."""
+        self.update_endpoint(state=EndpointState.DRAINING)
+
+    def start(
+        self, request: Message = PAGE_READ, last_byte_before_s: float = math.inf
+    ) -> UpstreamAttempt | None:
+        """Start an attempt."""
+        return self.pool.start_attempt(
+            ENDPOINT_ID,
+            request,
+            asyncio.get_running_loop().time() + ATTEMPT_TIMEOUT_S,
+            self._record_end,
+            lambda: self.is_client_waiting,
+            last_byte_before_s,
         )
 
-    def start(self, message: Message = PAGE) -> UpstreamAttempt | None:
-        expires = asyncio.get_running_loop().time() + 30
-        return self.pool.start_attempt(HOST, message, expires, self._ended)
+    async def run(self, request: Message = PAGE_READ) -> AttemptEnd:
+        """Make an attempt on a connection that may be used again, or a new one; return how it ended."""
+        count = len(self.ends)
+        await self.settle()
+        assert self.start(request) is not None
+        await wait_until(lambda: len(self.ends) > count)
+        return self.ends[-1]
+
+    async def run_and_read_body(self, request: Message = PAGE_READ) -> bytes:
+        """Make an attempt that is served; return the body of its response."""
+        end = await self.run(request)
+        assert end.outcome is Outcome.OK
+        assert end.response is not None
+        return end.response.body
 
-    def _ended(self, attempt: UpstreamAttempt, outcome: Outcome, answer: Message | None) -> None:
-        self.ends.append((outcome, answer))
+    async def wait_for_ends(self, count: int) -> None:
+        """Wait until this many attempts have ended."""
+        await wait_until(lambda: len(self.ends) == count)
 
     async def settle(self) -> None:
         """Wait until idle connections may be used again."""
-        idle = self.pool.idle_connections(HOST)
+        await wait_until_settled(self.pool, ENDPOINT_ID)
+
+    async def wait_until_disconnected(self) -> None:
+        """Wait until there is no connection to the endpoint any more."""
+        await wait_until(lambda: self.pool.open_descriptors == 0)
+
+    def idle_transport(self) -> asyncio.Transport:
+        """The transport of the only idle connection."""
+        (connection,) = self.pool.idle_connections(ENDPOINT_ID)
+        assert connection._transport is not None
+        return connection._transport
+
+    def _record_end(self, outcome: Outcome, response: Message | None) -> None:
+        self.ends.append(AttemptEnd(outcome, response))
+
+
+class SlowReadingEndpoint:
+    """An endpoint that reads nothing by itself, with small buffers on both sides of its connection."""
+
+    def __init__(self) -> None:
+        self._listener = socket.socket()
+        self._listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SMALL_BUFFER_BYTES)
+        self._listener.bind(("127.0.0.1", 0))
+        self._listener.listen()
+        self._listener.setblocking(False)
+        self.driver = AttemptDriver(self._listener.getsockname()[1])
+        self.attempt: UpstreamAttempt
+        self.gateway_socket: socket.socket
+
+    async def accept_request(self, body_bytes: int, last_byte_before_s: float) -> socket.socket:
+        """Start an attempt whose request is accepted in part only; return the endpoint's socket."""
         loop = asyncio.get_running_loop()
-        await wait_until(lambda: all(loop.time() - other.idle_since > pool.SETTLE_TIME for other in idle))
+        create_connection = loop.create_connection
 
-    async def outcome(self, message: Message = PAGE) -> Outcome:
-        count = len(self.ends)
-        await self.settle()
-        assert self.start(message) is not None
-        await wait_until(lambda: len(self.ends) > count)
-        return self.ends[-1][0]
+        async def connect_with_small_buffer(*args: Any) -> Any:
+            transport, protocol = await create_connection(*args)
+            self.gateway_socket = transport.get_extra_info("socket")
+            self.gateway_socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SMALL_BUFFER_BYTES)
+            return transport, protocol
+
+        loop.create_connection = connect_with_small_buffer  # type: ignore[method-assign, assignment]
+        attempt = self.driver.start(chapter_add(body_bytes), last_byte_before_s)
+        assert attempt is not None
+        self.attempt = attempt
+        endpoint_socket, _ = await loop.sock_accept(self._listener)
+        return endpoint_socket
+
+
+async def read_to_end(peer_socket: socket.socket) -> bytes:
+    """All bytes until the connection is closed or reset."""
+    received, loop = b"", asyncio.get_running_loop()
+    try:
+        while data := await loop.sock_recv(peer_socket, 65536):
+            received += data
+    except ConnectionError:
+        pass
+    return received
+
+
+class DelayedConnects:
+    """Connections to these endpoints are established only after `allow` is set."""
+
+    def __init__(self, monkeypatch: pytest.MonkeyPatch, *peers: LoopbackPeer) -> None:
+        self.allow = asyncio.Event()
+        self.waiting_count = 0
+        loop = asyncio.get_running_loop()
+        create_connection = loop.create_connection
+        ports = {peer.port for peer in peers}
+
+        async def connect_when_allowed(make: Callable[[], Any], address: str, port: int) -> Any:
+            if port in ports:
+                self.waiting_count += 1
+                await self.allow.wait()
+            return await create_connection(make, address, port)
+
+        monkeypatch.setattr(loop, "create_connection", connect_when_allowed)
+
+
+async def wait_until_settled(pool: UpstreamPool, endpoint_id: EndpointId) -> None:
+    """Wait until every connection to an endpoint that is idle now may be used again."""
+    loop = asyncio.get_running_loop()
+    idle = pool.idle_connections(endpoint_id)
+    await wait_until(lambda: all(connection.is_settled(loop.time()) for connection in idle))
+
+
+async def wait_for_requests(peer: LoopbackPeer, count: int) -> None:
+    """Wait until an endpoint has received this many requests."""
+    await wait_until(lambda: len(peer.requests) == count)
+
+
+def expire_request(dispatcher: RequestDispatcher, request_id: RequestId) -> None:
+    """Reach the deadline of a request now, as if its timer had run."""
+    request = dispatcher._requests.get(request_id)
+    if request is not None:
+        request.deadline_at_us = 0
+    dispatcher._expire(request_id)
