--- a/tests/support/races.py
+++ b/tests/support/races.py
@@ -10,7 +10,6 @@
 import pytest
 
 from http_gateway.net.frontend.client_connection import ClientConnection
-from http_gateway.net.upstream import pool
 from http_gateway.policy.actions import Action
 from http_gateway.policy.events import AttemptEnded, Event, Outcome
 from tests.support.loopback import (
@@ -85,7 +84,7 @@
     """Send a request, and wait until its connection to the endpoint is idle and may be used again."""
     assert (await gateway.request()).status == 200
     (idle,) = gateway.pool.idle_connections(peer.endpoint_entry().endpoint.id)
-    await wait_until(lambda: asyncio.get_running_loop().time() - idle.idle_since > pool.SETTLE_TIME)
+    await wait_until(lambda: idle.is_settled(asyncio.get_running_loop().time()))
     await wait_until(lambda: not gateway.frontend.connections)
 
 
