--- a/http_gateway/simulator/codec.py
+++ b/http_gateway/simulator/codec.py
@@ -1,11 +1,12 @@
-"""Maps messages of the simulator's wire to the policy's events, and its actions to messages.
+"""Maps messages of the simulator's wire to the policy's events, and the policy's actions to messages.
 
-The field names and codes here are those of the wire; the policy knows none of them.
+The field names and codes here are those of the wire; the policy knows none of them. Times on the wire are
+whole microseconds, as in the policy.
 """
 
 from __future__ import annotations
 
-from collections.abc import Mapping
+from collections.abc import Callable, Mapping
 from typing import Any
 
 from http_gateway.policy.actions import (
@@ -53,34 +54,36 @@
 }
 
 
+class MalformedEventError(Exception):
+    """A field of an event is missing or has a value that cannot be read."""
+
+    def __init__(self, verb: str, field: str, problem: str) -> None:
+        self.verb = verb
+        self.field = field
+        self.problem = problem
+        super().__init__(f"{verb}: {field} {problem}")
+
+
+def required_field(message: WireMessage, field: str) -> Any:
+    """Return a field of a message; raises `MalformedEventError` if it is missing."""
+    if field not in message:
+        raise MalformedEventError(message["verb"], field, "is missing")
+    return message[field]
+
+
 def decode_event(message: WireMessage) -> Event | None:
-    """Decode an event; None for one that the policy does not use.
-
-    Raises KeyError for a message without a field that its kind must have.
-    """
-    match message["verb"]:
-        case "order":
-            return _decode_request(message)
-        case "attemptEnd":
-            return _decode_attempt_end(message)
-        case "wakeup":
-            return TimerFired(message["ctx"])
-        case "probeResult":
-            return _decode_health_check(message)
-        case "discovery":
-            return _decode_endpoint_list(message)
-        case "expired":
-            return RequestAbandoned(message["corr"])
-        case "headers":
-            return ResponseStreamStarted(
-                message["corr"], message["copy"], message["host"], message["duration"]
-            )
-        case _:
-            return None
+    """Decode an event; None for one that the policy does not use. Raises `MalformedEventError`."""
+    decode = _EVENT_DECODERS.get(message["verb"])
+    if decode is None:
+        return None
+    try:
+        return decode(message)
+    except KeyError as error:
+        raise MalformedEventError(message["verb"], str(error.args[0]), "is missing") from None
 
 
 def encode_action(instance: int, action: Action) -> WireMessage:
-    """Encode an action of an instance."""
+    """Encode an action of an instance; `instance` is its number on the wire."""
     match action:
         case StartAttempt(request_id, endpoint_id, expires_at_us):
             return {
@@ -126,7 +129,7 @@
         request_id=message["corr"],
         attempt_number=message["copy"],
         endpoint_id=message["host"],
-        outcome=_OUTCOMES.get(message["rc"], Outcome.UNKNOWN),
+        outcome=_decode_outcome(message),
         latency_us=message["duration"],
         request_completed=bool(message.get("closed")),
         load_report=message.get("feedback"),
@@ -136,16 +139,47 @@
 def _decode_health_check(message: WireMessage) -> HealthCheckEnded:
     return HealthCheckEnded(
         endpoint_id=message["host"],
-        outcome=_OUTCOMES.get(message["rc"], Outcome.UNKNOWN),
+        outcome=_decode_outcome(message),
         latency_us=message["duration"],
         load_report=message.get("feedback"),
     )
 
 
+def _decode_outcome(message: WireMessage) -> Outcome:
+    try:
+        return _OUTCOMES.get(message["rc"], Outcome.UNKNOWN)
+    except TypeError:  # a list or an object
+        raise MalformedEventError(message["verb"], "rc", "is not a code") from None
+
+
+def _decode_timer(message: WireMessage) -> TimerFired:
+    return TimerFired(message["ctx"])
+
+
+def _decode_abandonment(message: WireMessage) -> RequestAbandoned:
+    return RequestAbandoned(message["corr"])
+
+
+def _decode_response_stream(message: WireMessage) -> ResponseStreamStarted:
+    return ResponseStreamStarted(message["corr"], message["copy"], message["host"], message["duration"])
+
+
 def _decode_endpoint_list(message: WireMessage) -> EndpointListUpdate:
     """A list of an unknown kind is read as changes, which loses neither a drain nor an endpoint."""
     kind = _UPDATE_KINDS.get(message.get("how") or "", ListUpdateKind.DELTA)
-    return EndpointListUpdate(kind, tuple(_decode_endpoint(entry) for entry in message.get("elements") or ()))
+    entries = message.get("elements") or ()
+    return EndpointListUpdate(
+        kind, tuple(_decode_list_entry(place, entry) for place, entry in enumerate(entries))
+    )
+
+
+def _decode_list_entry(place: int, entry: Mapping[str, Any]) -> Endpoint:
+    try:
+        return _decode_endpoint(entry)
+    except KeyError as error:
+        raise MalformedEventError("discovery", f"elements[{place}].{error.args[0]}", "is missing") from None
+    except (AttributeError, OverflowError, TypeError, ValueError) as error:
+        raise MalformedEventError("discovery", f"elements[{place}]", f"cannot be read: {error}") from error
 
 
 def _decode_endpoint(entry: Mapping[str, Any]) -> Endpoint:
@@ -158,3 +192,14 @@
         weight=float(entry.get("rating") or 1.0),
         started_at_us=int(entry.get("readyAt") or 0),
     )
+
+
+_EVENT_DECODERS: dict[str, Callable[[WireMessage], Event]] = {
+    "order": _decode_request,
+    "attemptEnd": _decode_attempt_end,
+    "wakeup": _decode_timer,
+    "probeResult": _decode_health_check,
+    "discovery": _decode_endpoint_list,
+    "expired": _decode_abandonment,
+    "headers": _decode_response_stream,
+}
--- a/http_gateway/simulator/instance_server.py
+++ b/http_gateway/simulator/instance_server.py
@@ -1,21 +1,38 @@
-"""Serves policy instances on the simulator's wire: batches of events in, replies out."""
+"""Serves policy instances on the simulator's wire: reads batches of events, writes replies."""
 
 from __future__ import annotations
 
-from typing import BinaryIO
+from collections.abc import Iterator
+from typing import BinaryIO, NamedTuple
 
 import orjson
 
 from http_gateway.policy.actions import Action
 from http_gateway.policy.balancer import Balancer
 from http_gateway.settings_reader import read_settings
-from http_gateway.simulator.codec import WireMessage, decode_event, encode_action
+from http_gateway.simulator.codec import WireMessage, decode_event, encode_action, required_field
 
 
 class MalformedInputError(Exception):
     """The input is not of the wire's form; nothing after it can be answered."""
 
 
+class UnknownInstanceError(Exception):
+    """An event names an instance that has not been configured, or has been retired."""
+
+    def __init__(self, verb: str, instance: int) -> None:
+        self.verb = verb
+        self.instance = instance
+        super().__init__(f"{verb}: instance {instance} is not configured")
+
+
+class Frame(NamedTuple):
+    """The opening of a batch."""
+
+    clock_us: int
+    number: int
+
+
 class InstanceServer:
     """The instances of one process, by their number on the wire."""
 
@@ -24,14 +41,14 @@
         self._failed: set[int] = set()
 
     def handle(self, message: WireMessage, now_us: int) -> list[WireMessage]:
-        """Hand one event to its instance; return the actions as messages.
+        """Pass one event to its instance; return the instance's actions as messages.
 
-        An instance that raises is declared failed, and its further events are ignored until it is retired.
+        An instance that raises is declared failed by an `exception` message. Its further events are ignored
+        until it is retired.
         """
         instance = message["gateway"]
         if message["verb"] == "retire":
-            self._balancers.pop(instance, None)
-            self._failed.discard(instance)
+            self._retire(instance)
             return []
         if instance in self._failed:
             return []
@@ -44,39 +61,56 @@
 
     def _actions(self, instance: int, message: WireMessage, now_us: int) -> list[Action]:
         if message["verb"] == "configure":
-            self._balancers[instance] = Balancer(read_settings(message["setup"], "setup"), message["seed"])
+            self._configure(instance, message)
             return []
         event = decode_event(message)
-        return [] if event is None else self._balancers[instance].handle(event, now_us)
+        if event is None:
+            return []
+        balancer = self._balancers.get(instance)
+        if balancer is None:
+            raise UnknownInstanceError(message["verb"], instance)
+        return balancer.handle(event, now_us)
+
+    def _configure(self, instance: int, message: WireMessage) -> None:
+        settings = read_settings(required_field(message, "setup"), "setup")
+        self._balancers[instance] = Balancer(settings, required_field(message, "seed"))
+
+    def _retire(self, instance: int) -> None:
+        self._balancers.pop(instance, None)
+        self._failed.discard(instance)
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
     """Answer batches until the input ends; raises `MalformedInputError`."""
     server = InstanceServer()
     for line in source:
-        now_us, batch_number = _read_frame(line)
+        frame = _read_frame(line)
         reply: list[WireMessage] = []
-        for event_line in source:
-            message = _read_message(event_line)
-            if message["verb"] == "eob":
-                break
-            if not isinstance(message.get("gateway"), int):
-                raise MalformedInputError(f"{message['verb']} names no gateway")
-            reply.extend(server.handle(message, now_us))
-        else:
-            raise MalformedInputError("the input ended inside a batch")
-        reply.append({"verb": "ack", "frame": batch_number})
-        sink.write(b"".join(orjson.dumps(message, option=orjson.OPT_APPEND_NEWLINE) for message in reply))
-        sink.flush()
-
-
-def _read_frame(line: bytes) -> tuple[int, int]:
-    """The clock and the number of the batch that a line opens."""
+        for message in _read_events(source):
+            reply.extend(server.handle(message, frame.clock_us))
+        reply.append({"verb": "ack", "frame": frame.number})
+        _write_reply(sink, reply)
+
+
+def _read_frame(line: bytes) -> Frame:
+    """Read the line that opens a batch."""
     message = _read_message(line)
-    clock, number = message.get("clock"), message.get("frame")
-    if message["verb"] != "frame" or not isinstance(clock, int) or not isinstance(number, int):
+    clock_us, number = message.get("clock"), message.get("frame")
+    if message["verb"] != "frame" or not isinstance(clock_us, int) or not isinstance(number, int):
         raise MalformedInputError("a batch must open with a frame that has a clock and a number")
-    return clock, number
+    return Frame(clock_us, number)
+
+
+def _read_events(source: BinaryIO) -> Iterator[WireMessage]:
+    """Read the events of a batch up to its end."""
+    for line in source:
+        message = _read_message(line)
+        if message["verb"] == "eob":
+            return
+        if not isinstance(message.get("gateway"), int):
+            raise MalformedInputError(f"{message['verb']} names no gateway")
+        yield message
+    raise MalformedInputError("the input ended inside a batch")
 
 
 def _read_message(line: bytes) -> WireMessage:
@@ -87,3 +121,8 @@
     if not isinstance(message, dict) or not isinstance(message.get("verb"), str):
         raise MalformedInputError("a line is not an object with a verb")
     return message
+
+
+def _write_reply(sink: BinaryIO, reply: list[WireMessage]) -> None:
+    sink.write(b"".join(orjson.dumps(message, option=orjson.OPT_APPEND_NEWLINE) for message in reply))
+    sink.flush()
--- /dev/null
+++ b/tests/support/session_model.py
@@ -0,0 +1,556 @@
+"""A small, seeded model of clients, endpoints and discovery, for recorded sessions of the simulator.
+
+The model produces the events of the simulator's wire batch by batch and reacts to the adapter's replies. All
+times are whole microseconds. Field names and codes are those of the wire.
+"""
+
+from __future__ import annotations
+
+import functools
+import heapq
+import itertools
+from collections.abc import Callable, Iterable, Mapping
+from dataclasses import dataclass, field
+from random import Random
+from typing import Any
+
+WireMessage = dict[str, Any]
+
+US_PER_MS = 1_000
+START_CLOCK_US = 5_000_000
+NETWORK_LATENCY_US = 1 * US_PER_MS
+REJECTION_LATENCY_US = 2 * US_PER_MS
+CONNECT_FAILURE_LATENCY_US = 5 * US_PER_MS
+DISCOVERY_LATENCY_US = 20 * US_PER_MS
+CLIENT_RETRY_PAUSE_US = 20 * US_PER_MS
+STREAM_DURATION_US = 80 * US_PER_MS
+
+# Codes of the wire for how an attempt ends.
+OK = 10
+ERROR = 20
+REJECTED = 30
+TIMEOUT = 40
+CONNECT_FAILED = 50
+RESET = 60
+CANCELLED = 70
+NOT_SENT = 80
+UNKNOWN = 99  # a code that the wire does not define
+
+
+class UnexpectedActionError(Exception):
+    """The adapter wrote an action that the model does not know."""
+
+    def __init__(self, verb: str) -> None:
+        self.verb = verb
+        super().__init__(f"the model does not know the action {verb!r}")
+
+
+@dataclass(frozen=True)
+class Fault:
+    """What an endpoint does to a fraction of its attempts for a time; TIMEOUT means that it stays silent."""
+
+    outcome: int
+    from_us: int
+    until_us: int
+    probability: float = 1.0
+    class_name: str | None = None  # None for all classes
+
+    def applies(self, class_name: str, elapsed_us: int) -> bool:
+        """Whether the fault can meet an attempt of a class, `elapsed_us` after the start of the session."""
+        return self.from_us <= elapsed_us < self.until_us and self.class_name in (None, class_name)
+
+
+@dataclass
+class SimulatedEndpoint:
+    """An endpoint with a queue in front of its workers."""
+
+    id: int
+    zone: str = "north"
+    machine_type: str = "small"
+    group: int | None = 0
+    rating: float = 1.0
+    service_time_us: int = 15 * US_PER_MS
+    workers: int = 2
+    queue_limit: int = 8
+    faults: tuple[Fault, ...] = ()
+    state: str = "IN"
+    started_at_us: int = 0
+    busy_until_us: list[int] = field(default_factory=list)
+
+    def list_entry(self) -> WireMessage:
+        """The endpoint as an entry of the list."""
+        return {
+            "host": self.id,
+            "stageState": self.state,
+            "group": self.group,
+            "rating": self.rating,
+            "sku": self.machine_type,
+            "regionPart": self.zone,
+            "readyAt": self.started_at_us or None,
+        }
+
+    def in_flight(self, now_us: int) -> int:
+        """Requests that are queued or executed now."""
+        self.busy_until_us = [until_us for until_us in self.busy_until_us if until_us > now_us]
+        return len(self.busy_until_us)
+
+    def enqueue(self, service_time_us: int, now_us: int) -> int | None:
+        """Queue a request; return when it will have been served, or None if the queue is full."""
+        if self.in_flight(now_us) >= self.workers + self.queue_limit:
+            return None
+        latest = sorted(self.busy_until_us)[-self.workers :]
+        start_us = now_us if len(latest) < self.workers else latest[0]
+        self.busy_until_us.append(start_us + service_time_us)
+        return start_us + service_time_us
+
+
+@dataclass(frozen=True)
+class ClassTraffic:
+    """How much of the traffic is of one class, and how its clients behave."""
+
+    name: str
+    share: float
+    timeout_us: int
+    has_key: bool = False
+    is_stream: bool = False
+    retries: bool = False  # clients retry once after a failure or a rejection
+
+
+@dataclass(frozen=True)
+class RatePhase:
+    """The request rate from a moment of the session on, over all gateways."""
+
+    from_us: int
+    requests_per_s: float
+
+
+@dataclass(frozen=True)
+class Step:
+    """A scripted change at a moment of the session."""
+
+    at_us: int
+    run: Callable[[SessionModel], None]
+
+
+@dataclass(frozen=True)
+class Scenario:
+    """All that determines a session, apart from the adapter's replies."""
+
+    name: str
+    seed: int
+    duration_us: int
+    gateway_count: int
+    setup: Mapping[str, Any]
+    endpoints: Callable[[], list[SimulatedEndpoint]]
+    traffic: tuple[ClassTraffic, ...]
+    rates: tuple[RatePhase, ...]
+    tenants: tuple[str, ...] = ()
+    steps: tuple[Step, ...] = ()
+    disconnect_probability: float = 0.03
+    failing_watches: int = 0  # the first calls to discovery that fail
+    tick_us: int = 5 * US_PER_MS
+
+
+@dataclass
+class ClientRequest:
+    """A request at a gateway, as its client sees it."""
+
+    id: int
+    gateway: int
+    traffic: ClassTraffic
+    deadline_us: int
+    key: str | None
+    tenant: str | None
+    is_retry: bool
+    is_complete: bool = False
+    is_streaming: bool = False
+    attempts: list[SimulatedAttempt] = field(default_factory=list)
+
+
+@dataclass
+class SimulatedAttempt:
+    """An attempt on its way to an endpoint and back."""
+
+    request: ClientRequest
+    number: int
+    endpoint_id: int
+    started_at_us: int
+    has_ended: bool = False
+    is_streaming: bool = False
+
+
+@dataclass
+class SimulatedGateway:
+    """An instance; events for an earlier incarnation of it are void."""
+
+    index: int
+    incarnation: int = 0
+    is_running: bool = True
+    is_watching: bool = False
+
+
+class SessionModel:
+    """Produces batches and takes replies until the scenario's time is over."""
+
+    def __init__(self, scenario: Scenario) -> None:
+        self.scenario = scenario
+        self.now_us = START_CLOCK_US
+        self.endpoints = {endpoint.id: endpoint for endpoint in scenario.endpoints()}
+        self._random = Random(scenario.seed)
+        self._gateways = [SimulatedGateway(index) for index in range(scenario.gateway_count)]
+        self._requests: dict[tuple[int, int], ClientRequest] = {}
+        self._batch: list[WireMessage] = []
+        self._scheduled: list[tuple[int, int, Callable[[], None]]] = []
+        self._sequence = itertools.count()
+        self._request_ids = itertools.count(1001)
+        self._revision = 40
+        self._failing_watches = scenario.failing_watches
+        for gateway in self._gateways:
+            self._configure(gateway)
+        for step in scenario.steps:
+            self._schedule(START_CLOCK_US + step.at_us, functools.partial(step.run, self))
+        self._schedule_arrival()
+
+    @property
+    def elapsed_us(self) -> int:
+        """Time since the start of the session."""
+        return self.now_us - START_CLOCK_US
+
+    def batches(self) -> Iterable[list[WireMessage]]:
+        """The batches of the session; the reply to each has to be given to `take_reply` before the next."""
+        yield self._take_batch()
+        while self.elapsed_us < self.scenario.duration_us:
+            self.now_us += self.scenario.tick_us
+            while self._scheduled and self._scheduled[0][0] <= self.now_us:
+                heapq.heappop(self._scheduled)[2]()
+            if self._batch:
+                yield self._take_batch()
+
+    def take_reply(self, actions: Iterable[WireMessage]) -> None:
+        """Carry out the actions of a reply."""
+        for action in actions:
+            gateway = self._gateways[action["gateway"]]
+            match action["verb"]:
+                case "dispatch":
+                    self._on_dispatch(gateway, action)
+                case "abortAttempt":
+                    self._on_abort(gateway, action)
+                case "refuse" | "giveUp":
+                    self._on_final_answer(gateway, action)
+                case "wakeMe":
+                    self._on_timer_request(gateway, action)
+                case "follow":
+                    self._on_watch(gateway)
+                case verb:
+                    raise UnexpectedActionError(verb)
+
+    # Scripted changes
+
+    def send(self, message: WireMessage) -> None:
+        """Add an event to the batch as it is."""
+        self._batch.append(message)
+
+    def list_endpoint(self, endpoint_id: int, state: str, how: str = "diff") -> None:
+        """Change the state of an endpoint in the list and send the change."""
+        self.endpoints[endpoint_id].state = state
+        self._send_list(how, [self.endpoints[endpoint_id]])
+
+    def restart_endpoint(self, endpoint_id: int) -> None:
+        """Restart an endpoint; it is listed with its new start time."""
+        endpoint = self.endpoints[endpoint_id]
+        endpoint.state, endpoint.started_at_us, endpoint.busy_until_us = "IN", self.now_us, []
+        self._send_list("diff", [endpoint])
+
+    def move_endpoint(self, endpoint_id: int, zone: str, group: int) -> None:
+        """List an endpoint in another zone and deduplication group."""
+        endpoint = self.endpoints[endpoint_id]
+        endpoint.zone, endpoint.group = zone, group
+        self._send_list("diff", [endpoint])
+
+    def add_endpoint(self, endpoint: SimulatedEndpoint) -> None:
+        """List an endpoint that has just started."""
+        endpoint.started_at_us = self.now_us
+        self.endpoints[endpoint.id] = endpoint
+        self._send_list("diff", [endpoint])
+
+    def send_complete_list(self, without: int | None = None) -> None:
+        """Send the complete list, with or without one endpoint."""
+        if without is not None:
+            self.endpoints[without].state = "OUT"
+        self._send_list("snapshot", [entry for entry in self.endpoints.values() if entry.state != "OUT"])
+
+    def send_list_failure(self) -> None:
+        """End every watch with a failure."""
+        self._send_list("error", [])
+        for gateway in self._gateways:
+            gateway.is_watching = False
+
+    def retire_gateway(self, index: int) -> None:
+        """Retire an instance; its requests, attempts, timers and undelivered events are void."""
+        gateway = self._gateways[index]
+        gateway.incarnation += 1
+        gateway.is_running = gateway.is_watching = False
+        self._requests = {key: request for key, request in self._requests.items() if key[0] != index}
+        self._batch = [message for message in self._batch if message["gateway"] != index]
+        self._batch.append({"verb": "retire", "gateway": index})
+
+    def configure_gateway(self, index: int) -> None:
+        """Configure a retired instance anew; in the batch in which it was retired, or in a later one."""
+        self._gateways[index].is_running = True
+        self._configure(self._gateways[index])
+
+    def restart_gateway(self, index: int) -> None:
+        """Retire an instance and configure it anew in the same batch."""
+        self.retire_gateway(index)
+        self.configure_gateway(index)
+
+    # Discovery
+
+    def _configure(self, gateway: SimulatedGateway) -> None:
+        self._batch.append(
+            {
+                "verb": "configure",
+                "gateway": gateway.index,
+                "seed": self._random.randrange(2**32),
+                "setup": {**self.scenario.setup, "rank": gateway.index},
+            }
+        )
+        listed = [endpoint for endpoint in self.endpoints.values() if endpoint.state != "OUT"]
+        self._append_list(gateway, "disk", listed)
+
+    def _send_list(self, how: str, entries: list[SimulatedEndpoint]) -> None:
+        self._revision += 1
+        is_polled = self.scenario.setup["registryMode"] == "subscribe"
+        for gateway in self._gateways:
+            if gateway.is_running and (gateway.is_watching or not is_polled):
+                self._append_list(gateway, how, entries)
+
+    def _append_list(self, gateway: SimulatedGateway, how: str, entries: list[SimulatedEndpoint]) -> None:
+        self._batch.append(
+            {
+                "verb": "discovery",
+                "gateway": gateway.index,
+                "how": how,
+                "serial": self._revision,
+                "elements": [entry.list_entry() for entry in entries],
+            }
+        )
+
+    def _on_watch(self, gateway: SimulatedGateway) -> None:
+        def answer() -> None:
+            if self._failing_watches > 0:
+                self._failing_watches -= 1
+                self._append_list(gateway, "error", [])
+                return
+            gateway.is_watching = True
+            self._append_list(gateway, "snapshot", list(self.endpoints.values()))
+
+        self._schedule_for(gateway, self.now_us + DISCOVERY_LATENCY_US, answer)
+
+    # Clients
+
+    def _schedule_arrival(self) -> None:
+        rate = [phase for phase in self.scenario.rates if phase.from_us <= self.elapsed_us][-1]
+        pause_us = round(self._random.expovariate(rate.requests_per_s) * 1_000_000)
+        self._schedule(self.now_us + pause_us, self._on_arrival)
+
+    def _on_arrival(self) -> None:
+        traffic = self._random.choices(
+            self.scenario.traffic, [traffic.share for traffic in self.scenario.traffic]
+        )[0]
+        self._send_request(
+            self._random.choice([gateway for gateway in self._gateways if gateway.is_running]),
+            traffic,
+            traffic.timeout_us,
+            f"user:{self._random.randrange(12)}" if traffic.has_key else None,
+            self._random.choice(self.scenario.tenants) if self.scenario.tenants else None,
+        )
+        self._schedule_arrival()
+
+    def _send_request(
+        self,
+        gateway: SimulatedGateway,
+        traffic: ClassTraffic,
+        timeout_us: int,
+        key: str | None,
+        tenant: str | None,
+        *,
+        is_retry: bool = False,
+    ) -> None:
+        request = ClientRequest(
+            next(self._request_ids),
+            gateway.index,
+            traffic,
+            self.now_us + timeout_us,
+            key,
+            tenant,
+            is_retry,
+        )
+        self._requests[gateway.index, request.id] = request
+        self._batch.append(
+            {
+                "verb": "order",
+                "gateway": gateway.index,
+                "corr": request.id,
+                "mutates": traffic.has_key,
+                "expiresIn": timeout_us,
+                "routeKey": key,
+                "grade": traffic.name,
+                "weightHint": self._cost_hint(),
+                "isRetry": is_retry,
+                "tenant": tenant,
+            }
+        )
+        self._schedule_for(gateway, request.deadline_us, lambda: self._on_deadline(request))
+        if self._random.random() < self.scenario.disconnect_probability:
+            disconnect_at_us = self.now_us + round(timeout_us * self._random.uniform(0.01, 0.5))
+            self._schedule_for(gateway, disconnect_at_us, lambda: self._on_disconnect(request))
+
+    def _cost_hint(self) -> int | None:
+        return self._random.randrange(5_000, 25_000) if self._random.random() < 0.8 else None
+
+    def _on_deadline(self, request: ClientRequest) -> None:
+        for attempt in request.attempts:
+            if not attempt.is_streaming:
+                self._end_attempt(attempt, TIMEOUT)
+        if not request.is_streaming:
+            overdue_us = request.deadline_us + self.scenario.setup["invariants"]["answerSlack"]
+            gateway = self._gateways[request.gateway]
+            self._schedule_for(gateway, overdue_us, lambda: self._on_disconnect(request))
+
+    def _on_disconnect(self, request: ClientRequest) -> None:
+        if request.is_complete:
+            return
+        request.is_complete = True
+        self._batch.append({"verb": "expired", "gateway": request.gateway, "corr": request.id})
+
+    def _on_final_answer(self, gateway: SimulatedGateway, action: WireMessage) -> None:
+        request = self._requests[gateway.index, action["corr"]]
+        if request.is_complete:
+            return
+        request.is_complete = True
+        if not request.traffic.retries or request.is_retry:
+            return
+        retry_at_us = self.now_us + max(CLIENT_RETRY_PAUSE_US, action.get("backoff") or 0)
+        remaining_us = request.deadline_us - retry_at_us
+        if remaining_us > 0:
+            self._schedule_for(
+                gateway,
+                retry_at_us,
+                lambda: self._send_request(
+                    gateway, request.traffic, remaining_us, request.key, request.tenant, is_retry=True
+                ),
+            )
+
+    # Attempts
+
+    def _on_dispatch(self, gateway: SimulatedGateway, action: WireMessage) -> None:
+        request = self._requests[gateway.index, action["corr"]]
+        attempt = SimulatedAttempt(request, len(request.attempts), action["host"], self.now_us)
+        request.attempts.append(attempt)
+        max_attempts = self.scenario.setup["permissions"]["maxAttempts"]
+        if request.is_complete or request.is_streaming or len(request.attempts) > max_attempts:
+            self._schedule_end(attempt, self.now_us, NOT_SENT)
+            return
+        endpoint = self.endpoints[attempt.endpoint_id]
+        if endpoint.state == "OUT":
+            self._schedule_end(attempt, self.now_us + CONNECT_FAILURE_LATENCY_US, CONNECT_FAILED)
+            return
+        self._execute(attempt, endpoint)
+
+    def _execute(self, attempt: SimulatedAttempt, endpoint: SimulatedEndpoint) -> None:
+        class_name = attempt.request.traffic.name
+        for fault in endpoint.faults:
+            if fault.applies(class_name, self.elapsed_us) and self._random.random() < fault.probability:
+                if fault.outcome != TIMEOUT:
+                    latency_us = round(self._random.uniform(1, 10) * US_PER_MS)
+                    self._schedule_end(attempt, self.now_us + latency_us, fault.outcome)
+                return
+        service_time_us = round(endpoint.service_time_us * self._random.uniform(0.5, 1.8))
+        served_at_us = endpoint.enqueue(service_time_us, self.now_us + NETWORK_LATENCY_US)
+        if served_at_us is None:
+            self._schedule_end(attempt, self.now_us + REJECTION_LATENCY_US, REJECTED)
+        elif attempt.request.traffic.is_stream:
+            gateway = self._gateways[attempt.request.gateway]
+            self._schedule_for(gateway, served_at_us, lambda: self._start_stream(attempt))
+        else:
+            self._schedule_end(attempt, served_at_us + NETWORK_LATENCY_US, OK)
+
+    def _start_stream(self, attempt: SimulatedAttempt) -> None:
+        if attempt.has_ended:
+            return
+        if attempt.request.is_complete or attempt.request.is_streaming:
+            self._end_attempt(attempt, CANCELLED)
+            return
+        attempt.is_streaming = attempt.request.is_streaming = True
+        self._batch.append(
+            {
+                "verb": "headers",
+                "gateway": attempt.request.gateway,
+                "corr": attempt.request.id,
+                "copy": attempt.number,
+                "host": attempt.endpoint_id,
+                "duration": self.now_us - attempt.started_at_us,
+            }
+        )
+        outcome = RESET if self._random.random() < 0.2 else OK
+        self._schedule_end(attempt, self.now_us + STREAM_DURATION_US, outcome)
+
+    def _on_abort(self, gateway: SimulatedGateway, action: WireMessage) -> None:
+        attempt = self._requests[gateway.index, action["corr"]].attempts[action["copy"]]
+        if not attempt.is_streaming:
+            self._schedule_end(attempt, self.now_us + NETWORK_LATENCY_US, CANCELLED)
+
+    def _schedule_end(self, attempt: SimulatedAttempt, at_us: int, outcome: int) -> None:
+        gateway = self._gateways[attempt.request.gateway]
+        self._schedule_for(gateway, at_us, lambda: self._end_attempt(attempt, outcome))
+
+    def _end_attempt(self, attempt: SimulatedAttempt, outcome: int) -> None:
+        if attempt.has_ended:
+            return
+        attempt.has_ended = True
+        request = attempt.request
+        if outcome == OK or attempt.is_streaming:
+            request.is_complete = True
+        self._batch.append(
+            {
+                "verb": "attemptEnd",
+                "gateway": request.gateway,
+                "corr": request.id,
+                "copy": attempt.number,
+                "host": attempt.endpoint_id,
+                "rc": outcome,
+                "duration": self.now_us - attempt.started_at_us,
+                "closed": request.is_complete,
+                "feedback": self._load_report(attempt),
+            }
+        )
+
+    def _load_report(self, attempt: SimulatedAttempt) -> WireMessage | None:
+        if self.scenario.setup["report"]["how"] != "piggyback":
+            return None
+        in_flight = self.endpoints[attempt.endpoint_id].in_flight(self.now_us)
+        return {"inflight": in_flight, "util": min(1.0, in_flight / 2)}
+
+    # Time
+
+    def _on_timer_request(self, gateway: SimulatedGateway, action: WireMessage) -> None:
+        message = {"verb": "wakeup", "gateway": gateway.index, "ctx": action["ctx"]}
+        self._schedule_for(gateway, self.now_us + action["offset"], lambda: self._batch.append(message))
+
+    def _schedule_for(self, gateway: SimulatedGateway, at_us: int, run: Callable[[], None]) -> None:
+        """Schedule an event of one incarnation of a gateway."""
+        incarnation = gateway.incarnation
+
+        def run_if_current() -> None:
+            if gateway.incarnation == incarnation:
+                run()
+
+        self._schedule(at_us, run_if_current)
+
+    def _schedule(self, at_us: int, run: Callable[[], None]) -> None:
+        heapq.heappush(self._scheduled, (max(at_us, self.now_us + 1), next(self._sequence), run))
+
+    def _take_batch(self) -> list[WireMessage]:
+        batch, self._batch = self._batch, []
+        return batch
--- /dev/null
+++ b/tests/unit/simulator/__init__.py
@@ -0,0 +1,1 @@
+"""Unit tests of the simulator's adapter."""
