--- a/tests/integration/test_outlier_detection.py
+++ b/tests/integration/test_outlier_detection.py
@@ -1,4 +1,4 @@
-"""What a host does to one class of request, while it serves the others."""
+"""Outlier detection where an endpoint fails one request class and serves the others."""
 
 from __future__ import annotations
 
@@ -19,72 +19,88 @@
     start_peers,
 )
 
-SIDE_BY_SIDE, ROUNDS = 6, 40  # clients, and what each buys
-TAKES = 0.02  # seconds to serve one: a stall of this loop must not look like a late answer
+CLIENT_COUNT = 6
+ROUNDS = 40  # a read and a purchase each, by every client
+SERVICE_TIME_S = 0.02  # long enough that a stall of this event loop does not look like a late response
+SLOW_SERVICE_TIME_S = 0.1  # about the initial latency estimate
+DISCONNECT_AFTER_S = 0.17  # before an attempt counts as slow
+DISCONNECTING_ROUNDS = 15
 
 
-def asks_to_buy(request: Message) -> bool:
+def is_purchase(request: Message) -> bool:
+    """Whether a request is of the class that fails."""
     return request.target.startswith(b"/chapter-buy")
 
 
-async def serves(request: Message, writer: asyncio.StreamWriter) -> None:
-    await asyncio.sleep(TAKES)
+async def serve(request: Message, writer: asyncio.StreamWriter) -> None:
+    """Serve any request."""
+    await asyncio.sleep(SERVICE_TIME_S)
     await respond_with()(request, writer)
 
 
-def fails_to_sell(every: int, failure: PeerScript) -> PeerScript:
-    """Serves all reads at once, and fails each so-many-th purchase as quickly."""
-    bought = 0
+def fail_purchases(every: int, failure: PeerScript) -> PeerScript:
+    """Serve all reads; let every n-th purchase fail, and as fast."""
+    purchases = 0
 
     async def script(request: Message, writer: asyncio.StreamWriter) -> None:
-        nonlocal bought
-        bought += asks_to_buy(request)
-        fails = asks_to_buy(request) and bought % every == 0
-        await (failure if fails else serves)(request, writer)
+        nonlocal purchases
+        purchases += is_purchase(request)
+        fails = is_purchase(request) and purchases % every == 0
+        await (failure if fails else serve)(request, writer)
 
     return script
 
 
-async def never_sells(request: Message, writer: asyncio.StreamWriter) -> None:
-    await asyncio.sleep(TAKES)
-    await (never_respond if asks_to_buy(request) else respond_with())(request, writer)
+async def never_answer_purchases(request: Message, writer: asyncio.StreamWriter) -> None:
+    """Serve all reads and stay silent on purchases."""
+    await asyncio.sleep(SERVICE_TIME_S)
+    await (never_respond if is_purchase(request) else respond_with())(request, writer)
 
 
-async def get(client: LoopbackClient, class_name: str) -> None:
-    """Until it isn't refused: on a slow machine the breaker of a good host opens for a while."""
+async def serve_purchases_slowly(request: Message, writer: asyncio.StreamWriter) -> None:
+    """Serve all requests, purchases after a longer time."""
+    await asyncio.sleep(SLOW_SERVICE_TIME_S if is_purchase(request) else SERVICE_TIME_S)
+    await respond_with()(request, writer)
+
+
+async def request_until_admitted(client: LoopbackClient, class_name: str) -> None:
+    """Repeat a request while it is shed; on a slow machine a good endpoint's breaker may open for a while."""
     while (await client.request(class_name)).status == 503:
-        await asyncio.sleep(TAKES)
+        await asyncio.sleep(SERVICE_TIME_S)
 
 
 async def read_and_buy(client: LoopbackClient) -> None:
+    """Read and buy in turn."""
     for _ in range(ROUNDS):
-        await get(client, "page-read")
-        await get(client, "chapter-buy")
+        await request_until_admitted(client, "page-read")
+        await request_until_admitted(client, "chapter-buy")
 
 
 @pytest.mark.parametrize(
     ("every", "failure"), [(2, respond_with(500)), (2, respond_with(503, X_Not_Run="1"))]
 )
 @async_test
-async def test_a_host_that_fails_one_class_gets_little_of_it(every: int, failure: PeerScript) -> None:
-    """Purchases failed at half of the hosts, which served reads: no three failures came in a row."""
+async def test_endpoint_that_fails_one_class_gets_few_requests_of_it(every: int, failure: PeerScript) -> None:
+    """Failures of every other purchase, with reads served between, never come three in a row."""
     async with (
-        start_peers(fails_to_sell(every, failure), serves) as hosts,
-        running_gateway(*(h.endpoint_entry() for h in hosts)) as gateway,
+        start_peers(fail_purchases(every, failure), serve) as peers,
+        running_gateway(*(peer.endpoint_entry() for peer in peers)) as gateway,
     ):
-        clients = [await gateway.connect() for _ in range(SIDE_BY_SIDE)]
+        clients = [await gateway.connect() for _ in range(CLIENT_COUNT)]
         await asyncio.gather(*map(read_and_buy, clients))
-        bought = [sum(map(asks_to_buy, host.requests)) for host in hosts]
-        assert bought[0] < sum(bought) / 4
-        gateway.dispatcher.update_endpoints(endpoint_list(hosts[0].endpoint_entry()))
-        await get(await gateway.connect(), "page-read")  # the others may have been idle for too long
-        assert not asks_to_buy(hosts[0].requests[-1])
+        purchases = [sum(map(is_purchase, peer.requests)) for peer in peers]
+        assert purchases[0] < sum(purchases) / 4
+        gateway.dispatcher.update_endpoints(endpoint_list(peers[0].endpoint_entry()))
+        # On a new connection, since the others may have reached their idle timeout.
+        await request_until_admitted(await gateway.connect(), "page-read")
+        assert not is_purchase(peers[0].requests[-1])
 
 
-async def leave_early(client: LoopbackClient, seconds: float) -> None:
+async def buy_and_disconnect(client: LoopbackClient, after_s: float) -> None:
+    """Send a purchase and disconnect after a time, or after its response."""
     client.writer.write(request_bytes("chapter-buy"))
     try:
-        async with asyncio.timeout(seconds):
+        async with asyncio.timeout(after_s):
             await client.response()
     except TimeoutError:
         pass
@@ -93,24 +109,19 @@
 
 
 @async_test
-async def test_a_host_silent_on_one_class_is_found_though_its_clients_leave_first() -> None:
-    """Each that left freed its place, so that the never_respond host looked the least busy."""
-
-    async def sells(request: Message, writer: asyncio.StreamWriter) -> None:
-        await asyncio.sleep(0.1 if asks_to_buy(request) else TAKES)  # as long as is usual at first
-        await respond_with()(request, writer)
-
+async def test_endpoint_silent_on_one_class_is_detected_though_clients_disconnect_first() -> None:
+    """Each disconnect frees its place, so that the silent endpoint seems the least busy one."""
     async with (
-        start_peers(never_sells, sells) as hosts,
-        running_gateway(*(host.endpoint_entry() for host in hosts)) as gateway,
+        start_peers(never_answer_purchases, serve_purchases_slowly) as peers,
+        running_gateway(*(peer.endpoint_entry() for peer in peers)) as gateway,
     ):
 
-        async def buy_in_vain_and_read() -> None:
-            for _ in range(15):
-                await leave_early(await gateway.connect(), 0.17)  # before an attempt is late
+        async def disconnect_and_read() -> None:
+            for _ in range(DISCONNECTING_ROUNDS):
+                await buy_and_disconnect(await gateway.connect(), DISCONNECT_AFTER_S)
                 await gateway.request("page-read")
 
-        await asyncio.gather(*(buy_in_vain_and_read() for _ in range(SIDE_BY_SIDE)))
-        bought = sum(map(asks_to_buy, hosts[0].requests))
-        assert bought < 25
-        assert len(hosts[0].requests) > bought
+        await asyncio.gather(*(disconnect_and_read() for _ in range(CLIENT_COUNT)))
+        purchases = sum(map(is_purchase, peers[0].requests))
+        assert purchases < 25
+        assert len(peers[0].requests) > purchases
--- a/tests/integration/test_simulator.py
+++ b/tests/integration/test_simulator.py
@@ -1,4 +1,4 @@
-"""The adapter on real wire text."""
+"""The simulator's adapter, run as a program on text of the wire."""
 
 from __future__ import annotations
 
@@ -20,24 +20,27 @@
     "invariants": {"coldFrom": 0.2, "rampTime": 10000000, "fall": 1500000, "fallMultiple": 2.5},
     "registryMode": "automatic",
     "locality": "here",
-    "unheard": {"of": True},
+    "a setting of a later version": {"enabled": True},
 }
-HOSTS = [{"host": 7, "stageState": "IN", "group": 0, "regionPart": "here"}]
+ENDPOINTS = [{"host": 7, "stageState": "IN", "group": 0, "regionPart": "here"}]
 
 Line = dict[str, Any]
 
 
-def play(text: str) -> subprocess.CompletedProcess[str]:
+def run_adapter(text: str) -> subprocess.CompletedProcess[str]:
+    """Run the adapter with this input."""
     command = [sys.executable, "-m", "http_gateway.simulator"]
     return subprocess.run(command, input=text, capture_output=True, text=True, timeout=60, check=False)
 
 
-def batch(number: int, *events: Line, clock: int = 1000) -> str:
-    lines = [{"verb": "frame", "clock": clock, "frame": number}, *events, {"verb": "eob"}]
+def batch(number: int, *events: Line, clock_us: int = 1000) -> str:
+    """Encode a batch."""
+    lines = [{"verb": "frame", "clock": clock_us, "frame": number}, *events, {"verb": "eob"}]
     return "".join(json.dumps(line) + "\n" for line in lines)
 
 
-def configure(gateway: int = 3, setup: Line | None = None, hosts: list[Line] | None = None) -> list[Line]:
+def configure(gateway: int = 3, setup: Line | None = None, endpoints: list[Line] | None = None) -> list[Line]:
+    """The events that start an instance."""
     return [
         {"verb": "configure", "gateway": gateway, "seed": 5, "setup": SETUP if setup is None else setup},
         {
@@ -45,83 +48,140 @@
             "gateway": gateway,
             "how": "disk",
             "serial": 1,
-            "elements": HOSTS if hosts is None else hosts,
+            "elements": ENDPOINTS if endpoints is None else endpoints,
         },
     ]
 
 
-def order(corr: int = 11, gateway: int = 3) -> Line:
-    return {"verb": "order", "gateway": gateway, "corr": corr, "grade": "page", "expiresIn": 200000}
+def request(request_id: int = 11, gateway: int = 3) -> Line:
+    """The event of a request that arrives."""
+    return {"verb": "order", "gateway": gateway, "corr": request_id, "grade": "page", "expiresIn": 200000}
 
 
-def ended(corr: int, rc: int, closed: bool, host: int = 7) -> Line:
+def attempt_end(request_id: int, code: int, completed: bool, endpoint_id: int = 7) -> Line:
+    """The event of a first attempt that ends."""
     return {
         "verb": "attemptEnd",
         "gateway": 3,
-        "corr": corr,
+        "corr": request_id,
         "copy": 0,
-        "host": host,
-        "rc": rc,
+        "host": endpoint_id,
+        "rc": code,
         "duration": 900,
-        "closed": closed,
+        "closed": completed,
         "feedback": None,
     }
 
 
 def replies(text: str) -> list[Line]:
-    result = play(text)
+    """Run the adapter; return the messages of its replies."""
+    result = run_adapter(text)
     assert result.returncode == 0, result.stderr
     assert result.stderr == ""
     return [json.loads(line) for line in result.stdout.splitlines()]
 
 
+def decisions(text: str) -> list[Line]:
+    """Run the adapter; return its actions but for timers."""
+    return [reply for reply in replies(text) if reply["verb"] not in ("ack", "wakeMe")]
+
+
 def verbs(text: str) -> list[str]:
-    return [reply["verb"] for reply in replies(text) if reply["verb"] not in ("ack", "wakeMe")]
+    """Run the adapter; return the verbs of its actions but for timers."""
+    return [decision["verb"] for decision in decisions(text)]
 
 
-def test_an_empty_batch_is_acknowledged() -> None:
+def test_empty_batch_is_acknowledged() -> None:
     assert replies(batch(1)) == [{"verb": "ack", "frame": 1}]
 
 
-def test_a_request_is_sent_and_its_answer_ends_it() -> None:
-    text = batch(1, *configure()) + batch(2, order()) + batch(3, ended(11, 10, True))
-    sent = next(reply for reply in replies(text) if reply["verb"] == "dispatch")
-    assert (sent["gateway"], sent["corr"], sent["host"]) == (3, 11, 7)
+def test_request_is_forwarded_and_its_response_completes_it() -> None:
+    text = batch(1, *configure()) + batch(2, request()) + batch(3, attempt_end(11, 10, True))
+    attempt = next(reply for reply in replies(text) if reply["verb"] == "dispatch")
+    assert (attempt["gateway"], attempt["corr"], attempt["host"]) == (3, 11, 7)
     assert verbs(text) == ["dispatch"]
 
 
-def test_no_server_means_a_refusal() -> None:
-    assert verbs(batch(1, *configure(hosts=[])) + batch(2, order())) == ["refuse"]
+def test_request_is_shed_without_an_endpoint() -> None:
+    assert verbs(batch(1, *configure(endpoints=[])) + batch(2, request())) == ["refuse"]
 
 
-def test_an_unknown_outcome_may_have_run() -> None:
-    classes = [dict(SETUP["classes"][0], effect="something new")]
-    text = batch(1, *configure(setup=SETUP | {"classes": classes})) + batch(2, order())
-    assert verbs(text + batch(3, ended(11, 99, False))) == ["dispatch", "giveUp"]
+def test_attempt_with_an_unknown_outcome_is_possibly_executed() -> None:
+    classes = [dict(SETUP["classes"][0], effect="an effect of a later version")]
+    text = batch(1, *configure(setup=SETUP | {"classes": classes})) + batch(2, request())
+    assert verbs(text + batch(3, attempt_end(11, 99, False))) == ["dispatch", "giveUp"]
 
 
-def test_an_unknown_state_drains() -> None:
-    hosts = [dict(HOSTS[0], stageState="NAPPING")]
-    assert verbs(batch(1, *configure(hosts=hosts)) + batch(2, order())) == ["refuse"]
+def test_endpoint_in_an_unknown_state_is_draining() -> None:
+    endpoints = [dict(ENDPOINTS[0], stageState="NAPPING")]
+    assert verbs(batch(1, *configure(endpoints=endpoints)) + batch(2, request())) == ["refuse"]
 
 
-def test_retire_and_configure_in_one_batch_start_afresh() -> None:
-    text = batch(1, *configure()) + batch(2, order())
-    text += batch(3, {"verb": "retire", "gateway": 3}, *configure(hosts=[]), order(12))
+def test_instance_that_is_retired_and_configured_in_one_batch_starts_anew() -> None:
+    text = batch(1, *configure()) + batch(2, request())
+    text += batch(3, {"verb": "retire", "gateway": 3}, *configure(endpoints=[]), request(12))
     assert verbs(text) == ["dispatch", "refuse"]
 
 
-def test_unknown_events_are_passed_over() -> None:
-    assert verbs(batch(1, *configure(), {"verb": "novelty", "gateway": 3})) == []
+def test_unknown_event_is_ignored() -> None:
+    assert verbs(batch(1, *configure(), {"verb": "a verb of a later version", "gateway": 3})) == []
 
 
-def test_unusable_settings_are_declared_for_that_instance_alone() -> None:
-    text = batch(1, *configure(gateway=1, setup={}), *configure()) + batch(2, order(), order(12, gateway=1))
-    found = [reply for reply in replies(text) if reply["verb"] not in ("ack", "wakeMe")]
+def test_invalid_settings_fail_only_their_instance() -> None:
+    text = batch(1, *configure(gateway=1, setup={}), *configure()) + batch(
+        2, request(), request(12, gateway=1)
+    )
+    found = decisions(text)
     assert [(reply["verb"], reply["gateway"]) for reply in found] == [("exception", 1), ("dispatch", 3)]
     assert "classes" in found[0]["msg"]
 
 
+@pytest.mark.parametrize(
+    ("event", "message"),
+    [
+        (
+            {"verb": "order", "gateway": 3, "corr": 11, "grade": "page"},
+            "MalformedEventError: order: expiresIn is missing",
+        ),
+        (
+            {"verb": "attemptEnd", "gateway": 3, "corr": 11, "copy": 0, "host": 7, "rc": [10]},
+            "MalformedEventError: attemptEnd: rc is not a code",
+        ),
+        (
+            {"verb": "discovery", "gateway": 3, "how": "diff", "elements": [*ENDPOINTS, {"group": 1}]},
+            "MalformedEventError: discovery: elements[1].host is missing",
+        ),
+        (
+            {"verb": "discovery", "gateway": 3, "how": "diff", "elements": [{"host": 8, "readyAt": "noon"}]},
+            "MalformedEventError: discovery: elements[0] cannot be read: "
+            "invalid literal for int() with base 10: 'noon'",
+        ),
+        (
+            {"verb": "configure", "gateway": 3, "seed": 5},
+            "MalformedEventError: configure: setup is missing",
+        ),
+        (
+            {"verb": "configure", "gateway": 3, "setup": SETUP},
+            "MalformedEventError: configure: seed is missing",
+        ),
+    ],
+    ids=["missing", "not a code", "missing in an entry", "wrong in an entry", "no settings", "no seed"],
+)
+def test_malformed_event_fails_its_instance_and_names_verb_and_field(event: Line, message: str) -> None:
+    text = batch(1, *configure(), event) + batch(2, request())
+    assert decisions(text) == [{"verb": "exception", "gateway": 3, "msg": message}]
+
+
+def test_event_for_an_instance_that_is_not_configured_names_the_instance() -> None:
+    message = "UnknownInstanceError: order: instance 3 is not configured"
+    assert decisions(batch(1, request())) == [{"verb": "exception", "gateway": 3, "msg": message}]
+
+
+def test_failed_instance_starts_anew_once_it_is_retired_and_configured() -> None:
+    text = batch(1, request()) + batch(2, {"verb": "retire", "gateway": 3}, *configure(), request(12))
+    assert verbs(text) == ["exception", "dispatch"]
+
+
 @pytest.mark.parametrize(
     "text",
     [
@@ -133,36 +193,36 @@
         batch(1, {"verb": "order"}),
     ],
 )
-def test_a_malformed_line_ends_the_adapter_with_one_plain_message(text: str) -> None:
-    result = play(text)
+def test_malformed_input_ends_the_adapter_with_one_error_line(text: str) -> None:
+    result = run_adapter(text)
     assert result.returncode != 0
     assert result.stderr.startswith("http_gateway.simulator: malformed input: ")
     assert len(result.stderr.splitlines()) == 1
 
 
-def test_the_end_of_input_is_no_fault() -> None:
-    assert play("").returncode == 0
+def test_adapter_exits_cleanly_at_the_end_of_input() -> None:
+    assert run_adapter("").returncode == 0
 
 
-def test_settings_give_each_balancer_its_part_of_a_tenants_allowance() -> None:
+def test_settings_give_each_gateway_its_part_of_a_tenants_quota() -> None:
     realms = [{"name": "choir", "allowancePerS": 75.0, "share": 0.3}, {"name": "band"}]
-    found = read_settings(SETUP | {"realms": realms, "overShareWorth": 0.1, "rank": 1})
-    assert found.tenant_quotas_per_s == {"choir": 37.5}
-    assert (found.over_quota_weight, found.gateway_index, found.gateway_count) == (0.1, 1, 2)
+    settings = read_settings(SETUP | {"realms": realms, "overShareWorth": 0.1, "rank": 1})
+    assert settings.tenant_quotas_per_s == {"choir": 37.5}
+    assert (settings.over_quota_weight, settings.gateway_index, settings.gateway_count) == (0.1, 1, 2)
 
 
-def test_a_request_carries_its_tenant_and_retry_mark() -> None:
-    request = decode_event(order() | {"tenant": "choir", "isRetry": True})
-    assert isinstance(request, RequestArrived)
-    assert (request.tenant, request.is_client_retry) == ("choir", True)
+def test_decoded_request_has_its_tenant_and_its_retry_flag() -> None:
+    event = decode_event(request() | {"tenant": "choir", "isRetry": True})
+    assert isinstance(event, RequestArrived)
+    assert (event.tenant, event.is_client_retry) == ("choir", True)
 
 
-def test_a_list_of_an_unknown_kind_is_read_as_changes() -> None:
-    """Dropping it would miss a drain; taking it for the whole list would drop servers it does not name."""
-    news = {
+def test_endpoint_list_of_an_unknown_kind_is_read_as_changes() -> None:
+    """Ignored, it might hide a drain; read as a complete list, it would remove endpoints it does not name."""
+    update = {
         "verb": "discovery",
         "gateway": 3,
-        "how": "novel",
-        "elements": [HOSTS[0] | {"stageState": "LAME"}],
+        "how": "a kind of a later version",
+        "elements": [ENDPOINTS[0] | {"stageState": "LAME"}],
     }
-    assert verbs(batch(1, *configure()) + batch(2, news, order())) == ["refuse"]
+    assert verbs(batch(1, *configure()) + batch(2, update, request())) == ["refuse"]
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -1,4 +1,4 @@
-"""Small scripted peers on loopback sockets, and a gateway between them."""
+"""Scripted endpoints, clients and a gateway between them, on loopback sockets in one event loop."""
 
 from __future__ import annotations
 
@@ -29,15 +29,19 @@
 )
 BUY = RequestClass("chapter-buy", 400 * US_PER_MS, 20_000 * US_PER_MS, priority_weight=8)
 SETTINGS = Settings((READ, BUY), max_attempts=5, hedging_allowed=True, cancellation_allowed=True)
-TEST_TIMEOUT_S = 30.0  # seconds that a condition may take on a slow machine
+TEST_TIMEOUT_S = 30.0  # generous, for slow machines
+READ_CHUNK_BYTES = 65536
+POLL_INTERVAL_S = 0.005
+MAX_UNREAD_REQUESTS = 1000
 
-_IDS = itertools.count()  # an id may be open once at a time
+_REQUEST_NUMBERS = itertools.count()  # a gateway rejects a request id that is open already
 
+# What a peer does with a request; it may answer on the connection that the request came on.
 PeerScript = Callable[[Message, asyncio.StreamWriter], Awaitable[None]]
 
 
 def async_test(test: Callable[..., Coroutine[Any, Any, None]]) -> Callable[..., None]:
-    """Run an async test in a loop of its own, for a generous time at most."""
+    """Run an async test in an event loop of its own; raises TimeoutError after `2 * TEST_TIMEOUT_S`."""
 
     @functools.wraps(test)
     def run(*args: object, **kwargs: object) -> None:
@@ -47,13 +51,14 @@
 
 
 async def wait_until(condition: Callable[[], object]) -> None:
+    """Wait until a condition is true; raises TimeoutError after `TEST_TIMEOUT_S`."""
     async with asyncio.timeout(TEST_TIMEOUT_S):
         while not condition():
-            await asyncio.sleep(0.005)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
 
 def respond_with(status: int = 200, body: bytes = b"page", **headers: str) -> PeerScript:
-    """A host that answers so; an underscore in a header's name stands for a dash."""
+    """Return a script that answers every request alike; `_` in a header's name stands for `-`."""
     pairs = [(name.replace("_", "-").encode(), value.encode()) for name, value in headers.items()]
 
     async def script(request: Message, writer: asyncio.StreamWriter) -> None:
@@ -63,28 +68,37 @@
 
 
 async def never_respond(request: Message, writer: asyncio.StreamWriter) -> None:
-    """Takes a request and never answers."""
+    """Read a request and never answer it."""
 
 
 async def reset_connection(request: Message, writer: asyncio.StreamWriter) -> None:
+    """Reset the connection instead of an answer."""
     abort_with_reset(writer)
 
 
 def abort_with_reset(writer: asyncio.StreamWriter) -> None:
+    """Close a connection with a TCP reset."""
     writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     writer.transport.abort()
 
 
 @dataclass
 class LoopbackPeer:
-    """A server that hands each whole request to its script."""
+    """An endpoint, or another HTTP server, that passes each complete request to its script.
+
+    Attributes:
+        requests: All requests so far, in the order in which they were complete.
+        request_writers: The connection of each of these requests.
+        writers: Every connection so far, open or closed.
+        connections: How many connections were accepted.
+        closed: How many of them have ended.
+        port: The port to listen on; 0 for a free one, which `start` puts here.
+    """
 
     script: PeerScript
     name: str = "s-1"
     requests: list[Message] = field(default_factory=list)
-    request_writers: list[asyncio.StreamWriter] = field(
-        default_factory=list
-    )  # the connection of each request
+    request_writers: list[asyncio.StreamWriter] = field(default_factory=list)
     connections: int = 0
     closed: int = 0
     writers: list[asyncio.StreamWriter] = field(default_factory=list)
@@ -92,16 +106,17 @@
     _server: asyncio.Server | None = None
 
     async def start(self) -> None:
+        """Listen on loopback."""
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", self.port)
         self.port = self._server.sockets[0].getsockname()[1]
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.connections += 1
         self.writers.append(writer)
-        parser = RequestReader()
+        requests = RequestReader()
         try:
-            while data := await reader.read(65536):
-                for request in parser.feed(data):
+            while data := await reader.read(READ_CHUNK_BYTES):
+                for request in requests.feed(data):
                     self.requests.append(request)
                     self.request_writers.append(writer)
                     await self.script(request, writer)
@@ -112,16 +127,18 @@
             writer.close()
 
     def stop(self) -> None:
+        """Stop listening and abort every connection."""
         if self._server is not None:
             self._server.close()
         for writer in self.writers:
             writer.transport.abort()
 
     def endpoint_entry(self, **fields: Any) -> EndpointEntry:
+        """Return this peer as an entry of the gateway's endpoint list, with fields of `Endpoint`."""
         return EndpointEntry(Endpoint(endpoint_id(self.name), **fields), ("127.0.0.1", self.port))
 
     def list_entry(self, phase: str = "Ready", **fields: Any) -> dict[str, Any]:
-        """This host in discovery's form."""
+        """Return this peer as an entry of discovery's JSON document; `fields` add to it or replace."""
         return {
             "id": self.name,
             "host_port": f"127.0.0.1:{self.port}",
@@ -137,86 +154,105 @@
 
 @asynccontextmanager
 async def start_peers(*scripts: PeerScript) -> AsyncIterator[list[LoopbackPeer]]:
-    started = [LoopbackPeer(script, f"s-{place}") for place, script in enumerate(scripts)]
-    for peer in started:
+    """Run a peer for each script, named `s-0`, `s-1` and so on, and stop them at the end."""
+    peers = [LoopbackPeer(script, f"s-{place}") for place, script in enumerate(scripts)]
+    for peer in peers:
         await peer.start()
     try:
-        yield started
+        yield peers
     finally:
-        for peer in started:
+        for peer in peers:
             peer.stop()
 
 
 def request_bytes(
     class_name: str = "page-read", headers: Mapping[str, str] | None = None, body: bytes = b""
 ) -> bytes:
+    """Encode a request with an id of its own.
+
+    `headers` add to the usual ones or replace them; an empty value removes one. `page-read` is sent as a GET,
+    every other class as a POST with its Content-Length.
+    """
     method = "GET" if class_name == "page-read" else "POST"
-    told = {
+    values = {
         "Host": "api.internal",
-        "X-Request-Id": f"9b1f{next(_IDS):04x}",
+        "X-Request-Id": f"9b1f{next(_REQUEST_NUMBERS):04x}",
         "X-Class": class_name,
         "X-Deadline": "10.0",
     }
-    told |= headers or {}
+    values |= headers or {}
     if method == "POST":
-        told["Content-Length"] = str(len(body))
-    lines = [
-        f"{method} /{class_name}?page=4 HTTP/1.1",
-        *(f"{name}: {told[name]}" for name in told if told[name]),
-    ]
-    return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
+        values["Content-Length"] = str(len(body))
+    request_line = f"{method} /{class_name}?page=4 HTTP/1.1"
+    header_lines = [f"{name}: {value}" for name, value in values.items() if value]
+    return "\r\n".join([request_line, *header_lines]).encode() + b"\r\n\r\n" + body
 
 
 class LoopbackClient:
-    """One client connection."""
+    """A client connection with at most one request open at a time.
+
+    Attributes:
+        writer: The connection, for tests that write bytes of their own.
+    """
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self._reader, self.writer = reader, writer
-        self._parser = ResponseReader()
+        self.writer = writer
+        self._reader = reader
+        self._responses = ResponseReader()
 
     @classmethod
     async def connect(cls, port: int) -> LoopbackClient:
+        """Connect to a gateway on loopback."""
         return cls(*await asyncio.open_connection("127.0.0.1", port))
 
     async def response(self) -> Message:
-        """The next answer; ConnectionError if the connection ends without one."""
+        """Return the next response; raises ConnectionError if the connection ends without one."""
         async with asyncio.timeout(TEST_TIMEOUT_S):
-            while data := await self._reader.read(65536):
-                answers = self._parser.feed(data)
-                assert self._parser.error is None
-                if answers:
-                    assert len(answers) == 1
-                    return answers[0]
-        raise ConnectionError("no answer")
+            while data := await self._reader.read(READ_CHUNK_BYTES):
+                responses = self._responses.feed(data)
+                assert self._responses.error is None
+                if responses:
+                    assert len(responses) == 1
+                    return responses[0]
+        raise ConnectionError("the connection ended without a response")
 
     async def request(
         self, class_name: str = "page-read", headers: Mapping[str, str] | None = None, body: bytes = b""
     ) -> Message:
+        """Send a request and return its response; raises ConnectionError."""
         self.writer.write(request_bytes(class_name, headers, body))
         return await self.response()
 
     async def read_until_closed(self) -> bytes:
-        """All that still comes, once the gateway has closed."""
+        """Return everything that arrives until the gateway closes the connection."""
         async with asyncio.timeout(TEST_TIMEOUT_S):
             return await self._reader.read()
 
     def close(self) -> None:
+        """Disconnect at once."""
         self.writer.transport.abort()
 
 
-async def request_and_never_read(client: LoopbackClient, host: LoopbackPeer) -> None:
-    """Ask until the gateway takes no more in."""
-    client.writer.transport.pause_reading()  # type: ignore[attr-defined]
-    for sent in range(1000):
+async def request_and_never_read(client: LoopbackClient, peer: LoopbackPeer) -> None:
+    """Send requests and read no response, until the gateway stops reading requests.
+
+    That shows once the peer lags behind by a dozen. Raises AssertionError if it never does.
+    """
+    transport = client.writer.transport
+    assert isinstance(transport, asyncio.ReadTransport)
+    transport.pause_reading()
+    for sent in range(MAX_UNREAD_REQUESTS):
         client.writer.write(request_bytes())
-        await asyncio.sleep(0.005)
-        if sent > len(host.requests) + 12:
+        await asyncio.sleep(POLL_INTERVAL_S)
+        if sent > len(peer.requests) + 12:
             return
-    raise AssertionError("it takes everything in")
+    raise AssertionError("the gateway never stops reading requests")
 
 
 @dataclass
 class RunningGateway:
+    """The parts of a gateway that runs in the event loop of the test."""
+
     dispatcher: RequestDispatcher
     pool: UpstreamPool
     frontend: Frontend
@@ -224,11 +260,13 @@
     port: int
 
     async def connect(self) -> LoopbackClient:
+        """Open a client connection to the gateway."""
         return await LoopbackClient.connect(self.port)
 
     async def request(
         self, class_name: str = "page-read", headers: Mapping[str, str] | None = None
     ) -> Message:
+        """Send one request on a connection of its own and return its response."""
         client = await self.connect()
         try:
             return await client.request(class_name, headers)
@@ -244,7 +282,7 @@
     max_connections: int = 100,
     connect_timeout_s: float = 1.0,
 ) -> AsyncIterator[RunningGateway]:
-    """A gateway in this loop, on a free port, with these hosts on its list."""
+    """Run a gateway in this event loop, on a free port, with these endpoints on its list."""
     pool = UpstreamPool(connect_timeout_s, idle_timeout_s, max_connections)
     balancer = Balancer(settings, seed=1)
     dispatcher = RequestDispatcher(balancer, pool)
@@ -259,4 +297,5 @@
 
 
 def endpoint_list(*entries: EndpointEntry, complete: bool = True, revision: int = 2) -> EndpointList:
+    """Return an endpoint list; the one that `running_gateway` starts with has revision 1."""
     return EndpointList(revision, complete, entries)
--- a/tests/support/record_session.py
+++ b/tests/support/record_session.py
@@ -16,7 +16,8 @@
 from pathlib import Path
 from typing import IO, NamedTuple
 
-from tests.support.session_model import Scenario, SessionModel, WireMessage
+from tests.support.session_model import SessionModel
+from tests.support.session_scenario import Scenario, WireMessage
 from tests.support.session_scenarios import SCENARIOS
 
 EXIT_TIMEOUT_S = 10.0
--- a/tests/support/session_model.py
+++ b/tests/support/session_model.py
@@ -9,14 +9,26 @@
 import functools
 import heapq
 import itertools
-from collections.abc import Callable, Iterable, Mapping
-from dataclasses import dataclass, field
+from collections.abc import Callable, Iterable
 from random import Random
-from typing import Any
+from typing import NamedTuple
+
+from tests.support.session_scenario import (
+    CANCELLED,
+    CONNECT_FAILED,
+    NOT_SENT,
+    OK,
+    REJECTED,
+    RESET,
+    TIMEOUT,
+    US_PER_MS,
+    ClassTraffic,
+    Scenario,
+    SimulatedEndpoint,
+    WireMessage,
+)
+from tests.support.session_state import ClientRequest, SimulatedAttempt, SimulatedGateway
 
-WireMessage = dict[str, Any]
-
-US_PER_MS = 1_000
 START_CLOCK_US = 5_000_000
 NETWORK_LATENCY_US = 1 * US_PER_MS
 REJECTION_LATENCY_US = 2 * US_PER_MS
@@ -25,17 +37,6 @@
 CLIENT_RETRY_PAUSE_US = 20 * US_PER_MS
 STREAM_DURATION_US = 80 * US_PER_MS
 
-# Codes of the wire for how an attempt ends.
-OK = 10
-ERROR = 20
-REJECTED = 30
-TIMEOUT = 40
-CONNECT_FAILED = 50
-RESET = 60
-CANCELLED = 70
-NOT_SENT = 80
-UNKNOWN = 99  # a code that the wire does not define
-
 
 class UnexpectedActionError(Exception):
     """The adapter wrote an action that the model does not know."""
@@ -45,148 +46,12 @@
         super().__init__(f"the model does not know the action {verb!r}")
 
 
-@dataclass(frozen=True)
-class Fault:
-    """What an endpoint does to a fraction of its attempts for a time; TIMEOUT means that it stays silent."""
-
-    outcome: int
-    from_us: int
-    until_us: int
-    probability: float = 1.0
-    class_name: str | None = None  # None for all classes
-
-    def applies(self, class_name: str, elapsed_us: int) -> bool:
-        """Whether the fault can meet an attempt of a class, `elapsed_us` after the start of the session."""
-        return self.from_us <= elapsed_us < self.until_us and self.class_name in (None, class_name)
-
-
-@dataclass
-class SimulatedEndpoint:
-    """An endpoint with a queue in front of its workers."""
-
-    id: int
-    zone: str = "north"
-    machine_type: str = "small"
-    group: int | None = 0
-    rating: float = 1.0
-    service_time_us: int = 15 * US_PER_MS
-    workers: int = 2
-    queue_limit: int = 8
-    faults: tuple[Fault, ...] = ()
-    state: str = "IN"
-    started_at_us: int = 0
-    busy_until_us: list[int] = field(default_factory=list)
-
-    def list_entry(self) -> WireMessage:
-        """The endpoint as an entry of the list."""
-        return {
-            "host": self.id,
-            "stageState": self.state,
-            "group": self.group,
-            "rating": self.rating,
-            "sku": self.machine_type,
-            "regionPart": self.zone,
-            "readyAt": self.started_at_us or None,
-        }
-
-    def in_flight(self, now_us: int) -> int:
-        """Requests that are queued or executed now."""
-        self.busy_until_us = [until_us for until_us in self.busy_until_us if until_us > now_us]
-        return len(self.busy_until_us)
-
-    def enqueue(self, service_time_us: int, now_us: int) -> int | None:
-        """Queue a request; return when it will have been served, or None if the queue is full."""
-        if self.in_flight(now_us) >= self.workers + self.queue_limit:
-            return None
-        latest = sorted(self.busy_until_us)[-self.workers :]
-        start_us = now_us if len(latest) < self.workers else latest[0]
-        self.busy_until_us.append(start_us + service_time_us)
-        return start_us + service_time_us
-
-
-@dataclass(frozen=True)
-class ClassTraffic:
-    """How much of the traffic is of one class, and how its clients behave."""
-
-    name: str
-    share: float
-    timeout_us: int
-    has_key: bool = False
-    is_stream: bool = False
-    retries: bool = False  # clients retry once after a failure or a rejection
-
-
-@dataclass(frozen=True)
-class RatePhase:
-    """The request rate from a moment of the session on, over all gateways."""
-
-    from_us: int
-    requests_per_s: float
-
-
-@dataclass(frozen=True)
-class Step:
-    """A scripted change at a moment of the session."""
-
-    at_us: int
-    run: Callable[[SessionModel], None]
-
-
-@dataclass(frozen=True)
-class Scenario:
-    """All that determines a session, apart from the adapter's replies."""
-
-    name: str
-    seed: int
-    duration_us: int
-    gateway_count: int
-    setup: Mapping[str, Any]
-    endpoints: Callable[[], list[SimulatedEndpoint]]
-    traffic: tuple[ClassTraffic, ...]
-    rates: tuple[RatePhase, ...]
-    tenants: tuple[str, ...] = ()
-    steps: tuple[Step, ...] = ()
-    disconnect_probability: float = 0.03
-    failing_watches: int = 0  # the first calls to discovery that fail
-    tick_us: int = 5 * US_PER_MS
-
-
-@dataclass
-class ClientRequest:
-    """A request at a gateway, as its client sees it."""
-
-    id: int
-    gateway: int
-    traffic: ClassTraffic
-    deadline_us: int
-    key: str | None
-    tenant: str | None
-    is_retry: bool
-    is_complete: bool = False
-    is_streaming: bool = False
-    attempts: list[SimulatedAttempt] = field(default_factory=list)
-
-
-@dataclass
-class SimulatedAttempt:
-    """An attempt on its way to an endpoint and back."""
-
-    request: ClientRequest
-    number: int
-    endpoint_id: int
-    started_at_us: int
-    has_ended: bool = False
-    is_streaming: bool = False
-
-
-@dataclass
-class SimulatedGateway:
-    """An instance; events for an earlier incarnation of it are void."""
+class ScheduledEvent(NamedTuple):
+    """What happens at a moment of the session; events of the same moment keep the order of scheduling."""
 
-    index: int
-    incarnation: int = 0
-    is_running: bool = True
-    is_watching: bool = False
+    due_us: int
+    sequence: int
+    run: Callable[[], None]
 
 
 class SessionModel:
@@ -200,7 +65,7 @@
         self._gateways = [SimulatedGateway(index) for index in range(scenario.gateway_count)]
         self._requests: dict[tuple[int, int], ClientRequest] = {}
         self._batch: list[WireMessage] = []
-        self._scheduled: list[tuple[int, int, Callable[[], None]]] = []
+        self._scheduled: list[ScheduledEvent] = []
         self._sequence = itertools.count()
         self._request_ids = itertools.count(1001)
         self._revision = 40
@@ -221,13 +86,13 @@
         yield self._take_batch()
         while self.elapsed_us < self.scenario.duration_us:
             self.now_us += self.scenario.tick_us
-            while self._scheduled and self._scheduled[0][0] <= self.now_us:
-                heapq.heappop(self._scheduled)[2]()
+            while self._scheduled and self._scheduled[0].due_us <= self.now_us:
+                heapq.heappop(self._scheduled).run()
             if self._batch:
                 yield self._take_batch()
 
     def take_reply(self, actions: Iterable[WireMessage]) -> None:
-        """Carry out the actions of a reply."""
+        """Execute the actions of a reply."""
         for action in actions:
             gateway = self._gateways[action["gateway"]]
             match action["verb"]:
@@ -252,51 +117,50 @@
 
     def list_endpoint(self, endpoint_id: int, state: str, how: str = "diff") -> None:
         """Change the state of an endpoint in the list and send the change."""
-        self.endpoints[endpoint_id].state = state
+        self.endpoints[endpoint_id].change_state(state)
         self._send_list(how, [self.endpoints[endpoint_id]])
 
     def restart_endpoint(self, endpoint_id: int) -> None:
         """Restart an endpoint; it is listed with its new start time."""
         endpoint = self.endpoints[endpoint_id]
-        endpoint.state, endpoint.started_at_us, endpoint.busy_until_us = "IN", self.now_us, []
+        endpoint.restart(self.now_us)
         self._send_list("diff", [endpoint])
 
     def move_endpoint(self, endpoint_id: int, zone: str, group: int) -> None:
         """List an endpoint in another zone and deduplication group."""
         endpoint = self.endpoints[endpoint_id]
-        endpoint.zone, endpoint.group = zone, group
+        endpoint.move(zone, group)
         self._send_list("diff", [endpoint])
 
     def add_endpoint(self, endpoint: SimulatedEndpoint) -> None:
         """List an endpoint that has just started."""
-        endpoint.started_at_us = self.now_us
+        endpoint.restart(self.now_us)
         self.endpoints[endpoint.id] = endpoint
         self._send_list("diff", [endpoint])
 
     def send_complete_list(self, without: int | None = None) -> None:
         """Send the complete list, with or without one endpoint."""
         if without is not None:
-            self.endpoints[without].state = "OUT"
+            self.endpoints[without].change_state("OUT")
         self._send_list("snapshot", [entry for entry in self.endpoints.values() if entry.state != "OUT"])
 
     def send_list_failure(self) -> None:
         """End every watch with a failure."""
         self._send_list("error", [])
         for gateway in self._gateways:
-            gateway.is_watching = False
+            gateway.end_watch()
 
     def retire_gateway(self, index: int) -> None:
         """Retire an instance; its requests, attempts, timers and undelivered events are void."""
         gateway = self._gateways[index]
-        gateway.incarnation += 1
-        gateway.is_running = gateway.is_watching = False
+        gateway.retire()
         self._requests = {key: request for key, request in self._requests.items() if key[0] != index}
         self._batch = [message for message in self._batch if message["gateway"] != index]
         self._batch.append({"verb": "retire", "gateway": index})
 
     def configure_gateway(self, index: int) -> None:
         """Configure a retired instance anew; in the batch in which it was retired, or in a later one."""
-        self._gateways[index].is_running = True
+        self._gateways[index].start()
         self._configure(self._gateways[index])
 
     def restart_gateway(self, index: int) -> None:
@@ -342,7 +206,7 @@
                 self._failing_watches -= 1
                 self._append_list(gateway, "error", [])
                 return
-            gateway.is_watching = True
+            gateway.start_watch()
             self._append_list(gateway, "snapshot", list(self.endpoints.values()))
 
         self._schedule_for(gateway, self.now_us + DISCOVERY_LATENCY_US, answer)
@@ -421,14 +285,14 @@
     def _on_disconnect(self, request: ClientRequest) -> None:
         if request.is_complete:
             return
-        request.is_complete = True
+        request.complete()
         self._batch.append({"verb": "expired", "gateway": request.gateway, "corr": request.id})
 
     def _on_final_answer(self, gateway: SimulatedGateway, action: WireMessage) -> None:
         request = self._requests[gateway.index, action["corr"]]
         if request.is_complete:
             return
-        request.is_complete = True
+        request.complete()
         if not request.traffic.retries or request.is_retry:
             return
         retry_at_us = self.now_us + max(CLIENT_RETRY_PAUSE_US, action.get("backoff") or 0)
@@ -482,7 +346,7 @@
         if attempt.request.is_complete or attempt.request.is_streaming:
             self._end_attempt(attempt, CANCELLED)
             return
-        attempt.is_streaming = attempt.request.is_streaming = True
+        attempt.start_stream()
         self._batch.append(
             {
                 "verb": "headers",
@@ -508,10 +372,8 @@
     def _end_attempt(self, attempt: SimulatedAttempt, outcome: int) -> None:
         if attempt.has_ended:
             return
-        attempt.has_ended = True
+        attempt.end(outcome)
         request = attempt.request
-        if outcome == OK or attempt.is_streaming:
-            request.is_complete = True
         self._batch.append(
             {
                 "verb": "attemptEnd",
@@ -549,7 +411,8 @@
         self._schedule(at_us, run_if_current)
 
     def _schedule(self, at_us: int, run: Callable[[], None]) -> None:
-        heapq.heappush(self._scheduled, (max(at_us, self.now_us + 1), next(self._sequence), run))
+        due_us = max(at_us, self.now_us + 1)
+        heapq.heappush(self._scheduled, ScheduledEvent(due_us, next(self._sequence), run))
 
     def _take_batch(self) -> list[WireMessage]:
         batch, self._batch = self._batch, []
--- a/tests/support/session_scenarios.py
+++ b/tests/support/session_scenarios.py
@@ -2,9 +2,11 @@
 
 from __future__ import annotations
 
+from collections.abc import Callable
 from typing import Any
 
-from tests.support.session_model import (
+from tests.support.session_model import SessionModel
+from tests.support.session_scenario import (
     CONNECT_FAILED,
     ERROR,
     OK,
@@ -17,7 +19,6 @@
     Fault,
     RatePhase,
     Scenario,
-    SessionModel,
     SimulatedEndpoint,
     Step,
 )
@@ -92,13 +93,8 @@
 SESSION_US = 3_200 * US_PER_MS
 
 
-def _at_ms(time_ms: int, method: str, *arguments: Any) -> Step:
-    """A step that calls a method of the model."""
-
-    def run(model: SessionModel) -> None:
-        getattr(model, method)(*arguments)
-
-    return Step(time_ms * US_PER_MS, run)
+def _at_ms(time_ms: int, change: Callable[[SessionModel], None]) -> Step:
+    return Step(time_ms * US_PER_MS, change)
 
 
 def _fault(
@@ -127,6 +123,10 @@
     ]
 
 
+def _added_endpoint() -> SimulatedEndpoint:
+    return SimulatedEndpoint(70_020, zone="south", machine_type="large", group=None)
+
+
 ENDPOINT_LISTS = Scenario(
     name="endpoint_lists",
     seed=11,
@@ -142,25 +142,23 @@
     traffic=(PAGES, PURCHASES, *RENEWALS, NOVELTIES),
     rates=(RatePhase(0, 170.0),),
     steps=(
-        _at_ms(300, "list_endpoint", 70_001, "LAME"),
-        _at_ms(450, "list_endpoint", 70_001, "OUT"),
-        _at_ms(600, "restart_endpoint", 70_001),
-        _at_ms(600, "restart_endpoint", 70_005),
-        _at_ms(800, "send_complete_list", 70_002),
-        _at_ms(950, "send_list_failure"),
-        _at_ms(1050, "list_endpoint", 70_004, "NAPPING"),
-        _at_ms(1200, "list_endpoint", 70_004, "IN", "a kind of a later version"),
-        _at_ms(1300, "restart_endpoint", 70_006),
-        _at_ms(
-            1400, "add_endpoint", SimulatedEndpoint(70_020, zone="south", machine_type="large", group=None)
-        ),
-        _at_ms(1550, "restart_gateway", 1),
-        _at_ms(1700, "retire_gateway", 2),
-        _at_ms(1900, "move_endpoint", 70_005, "north", 0),
-        _at_ms(2000, "configure_gateway", 2),
-        _at_ms(2200, "restart_endpoint", 70_002),
-        _at_ms(2500, "send_complete_list"),
-        _at_ms(2700, "list_endpoint", 70_000, "IN", "disk"),
+        _at_ms(300, lambda model: model.list_endpoint(70_001, "LAME")),
+        _at_ms(450, lambda model: model.list_endpoint(70_001, "OUT")),
+        _at_ms(600, lambda model: model.restart_endpoint(70_001)),
+        _at_ms(600, lambda model: model.restart_endpoint(70_005)),
+        _at_ms(800, lambda model: model.send_complete_list(70_002)),
+        _at_ms(950, lambda model: model.send_list_failure()),
+        _at_ms(1050, lambda model: model.list_endpoint(70_004, "NAPPING")),
+        _at_ms(1200, lambda model: model.list_endpoint(70_004, "IN", "a kind of a later version")),
+        _at_ms(1300, lambda model: model.restart_endpoint(70_006)),
+        _at_ms(1400, lambda model: model.add_endpoint(_added_endpoint())),
+        _at_ms(1550, lambda model: model.restart_gateway(1)),
+        _at_ms(1700, lambda model: model.retire_gateway(2)),
+        _at_ms(1900, lambda model: model.move_endpoint(70_005, "north", 0)),
+        _at_ms(2000, lambda model: model.configure_gateway(2)),
+        _at_ms(2200, lambda model: model.restart_endpoint(70_002)),
+        _at_ms(2500, lambda model: model.send_complete_list()),
+        _at_ms(2700, lambda model: model.list_endpoint(70_000, "IN", "disk")),
     ),
 )
 
@@ -201,9 +199,9 @@
     ),
     tenants=("choir", "choir", "band"),
     steps=(
-        _at_ms(1500, "send_list_failure"),
-        _at_ms(1700, "restart_endpoint", 91),
-        _at_ms(2900, "list_endpoint", 94, "LAME"),
+        _at_ms(1500, lambda model: model.send_list_failure()),
+        _at_ms(1700, lambda model: model.restart_endpoint(91)),
+        _at_ms(2900, lambda model: model.list_endpoint(94, "LAME")),
     ),
     failing_watches=2,
 )
@@ -241,6 +239,10 @@
     }
 
 
+PEER_MESSAGE = {"verb": "peerData", "gateway": 1, "from": 0, "bytes": "68692037"}
+UNKNOWN_EVENT = {"verb": "a verb of a later version", "gateway": 0, "corr": 1001}
+ABANDONMENT_OF_UNKNOWN_REQUEST = {"verb": "expired", "gateway": 0, "corr": 4_000_000_000}
+
 REQUEST_CLASSES = Scenario(
     name="request_classes",
     seed=13,
@@ -256,13 +258,13 @@
     traffic=(PAGES, PURCHASES, *RENEWALS, FEEDS, UNLISTED, NOVELTIES),
     rates=(RatePhase(0, 170.0),),
     steps=(
-        _at_ms(700, "send", _health_check(0, 403, CONNECT_FAILED)),
-        _at_ms(1000, "send", _health_check(1, 403, OK)),
-        _at_ms(1000, "send", _health_check(0, 402, UNKNOWN)),
-        _at_ms(1100, "send", {"verb": "peerData", "gateway": 1, "from": 0, "bytes": "68692037"}),
-        _at_ms(1200, "send", {"verb": "a verb of a later version", "gateway": 0, "corr": 1001}),
-        _at_ms(1300, "send", {"verb": "expired", "gateway": 0, "corr": 4_000_000_000}),
-        _at_ms(1900, "restart_endpoint", 405),
+        _at_ms(700, lambda model: model.send(_health_check(0, 403, CONNECT_FAILED))),
+        _at_ms(1000, lambda model: model.send(_health_check(1, 403, OK))),
+        _at_ms(1000, lambda model: model.send(_health_check(0, 402, UNKNOWN))),
+        _at_ms(1100, lambda model: model.send(PEER_MESSAGE)),
+        _at_ms(1200, lambda model: model.send(UNKNOWN_EVENT)),
+        _at_ms(1300, lambda model: model.send(ABANDONMENT_OF_UNKNOWN_REQUEST)),
+        _at_ms(1900, lambda model: model.restart_endpoint(405)),
     ),
     disconnect_probability=0.08,
 )
--- a/tests/unit/simulator/test_recorded_sessions.py
+++ b/tests/unit/simulator/test_recorded_sessions.py
@@ -16,7 +16,7 @@
 
 from http_gateway.simulator.instance_server import serve
 from tests.support.record_session import record, running_adapter
-from tests.support.session_model import Scenario
+from tests.support.session_scenario import Scenario
 from tests.support.session_scenarios import SCENARIOS
 
 ROOT = Path(__file__).parents[3]
--- a/tests/unit/test_project.py
+++ b/tests/unit/test_project.py
@@ -1,4 +1,4 @@
-"""Rules that the project sets itself."""
+"""The layout of the package: sizes, dependencies between its parts, and the deploy file."""
 
 from __future__ import annotations
 
@@ -9,11 +9,24 @@
 import pytest
 
 ROOT = Path(__file__).parents[2]
-POLICY = sorted((ROOT / "http_gateway" / "policy").glob("*.py"))
+PACKAGE = ROOT / "http_gateway"
+POLICY = sorted((PACKAGE / "policy").glob("*.py"))
+MODULES = sorted(PACKAGE.rglob("*.py"))
 MAX_LINES = 400
 MAX_LINE_LENGTH = 110
 # Modules of the standard library that a pure module may use; none of them reads a clock or does I/O.
 PURE_MODULES = {"__future__", "collections", "dataclasses", "enum", "hashlib", "math", "random", "typing"}
+# The parts of the package, and of which others each may import modules.
+DEPENDENCIES = {
+    "__init__": set(),
+    "__main__": {"service"},
+    "json_fields": set(),
+    "net": {"json_fields", "policy", "settings_reader"},
+    "policy": set(),
+    "service": {"json_fields", "net", "policy", "settings_reader"},
+    "settings_reader": {"json_fields", "policy"},
+    "simulator": {"json_fields", "policy", "settings_reader"},
+}
 
 
 def _imported_modules(path: Path) -> set[str]:
@@ -26,27 +39,53 @@
     return modules
 
 
+def _part(path: Path) -> str:
+    """The part of the package that a module belongs to."""
+    return path.relative_to(PACKAGE).with_suffix("").parts[0]
+
+
+def _module_id(path: Path) -> str:
+    return ".".join(path.relative_to(PACKAGE).with_suffix("").parts)
+
+
 @pytest.mark.parametrize("path", POLICY, ids=lambda path: path.stem)
-def test_policy_modules_are_small(path: Path) -> None:
+def test_policy_module_is_short(path: Path) -> None:
     lines = path.read_text().splitlines()
     assert len([line for line in lines if line.strip()]) <= MAX_LINES
     assert max(map(len, lines), default=0) <= MAX_LINE_LENGTH
 
 
 @pytest.mark.parametrize("path", POLICY, ids=lambda path: path.stem)
-def test_policy_modules_are_pure(path: Path) -> None:
+def test_policy_module_is_pure(path: Path) -> None:
+    for module in _imported_modules(path):
+        assert module.split(".")[0] in PURE_MODULES or module.startswith("http_gateway.policy.")
+
+
+@pytest.mark.parametrize("path", MODULES, ids=_module_id)
+def test_module_is_short(path: Path) -> None:
+    line_count = len(path.read_text().splitlines())
+    assert line_count <= MAX_LINES
+
+
+@pytest.mark.parametrize("path", MODULES, ids=_module_id)
+def test_module_imports_only_from_parts_that_its_part_depends_on(path: Path) -> None:
+    """No import is relative or of the bare package, which would hide the part that it is from."""
+    part = _part(path)
     for module in _imported_modules(path):
-        assert module.split(".")[0] in PURE_MODULES or module.startswith("http_gateway.policy")
+        package, _, rest = module.partition(".")
+        if package in ("", "http_gateway"):
+            assert package == "http_gateway"
+            assert rest.split(".")[0] in DEPENDENCIES[part] | {part}
 
 
-def test_the_deploy_file_names_every_policy_module() -> None:
+def test_deploy_file_names_every_policy_module() -> None:
     deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
     assert sorted(deploy["policy"]) == [str(path.relative_to(ROOT)) for path in POLICY]
 
 
-def test_the_deploy_file_names_every_other_module_of_the_gateway() -> None:
+def test_deploy_file_names_every_other_module_of_the_gateway() -> None:
     deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
     named = [ROOT / entry for entry in (*deploy["node"], *deploy["policy"])]
-    simulator = ROOT / "http_gateway" / "simulator"
-    for path in (ROOT / "http_gateway").rglob("*.py"):
+    simulator = PACKAGE / "simulator"
+    for path in MODULES:
         assert any(path.is_relative_to(entry) for entry in (*named, simulator)), path
--- a/tests/unit/test_readme.py
+++ b/tests/unit/test_readme.py
@@ -1,4 +1,4 @@
-"""The lines that README shows do what it says."""
+"""The example in README.md does what the text says."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 README = Path(__file__).parents[2] / "README.md"
 
 
-def test_the_example_runs(capsys: pytest.CaptureFixture[str]) -> None:
+def test_example_runs_and_prints_its_actions(capsys: pytest.CaptureFixture[str]) -> None:
     blocks = re.findall(r"```python\n(.*?)```", README.read_text(), re.DOTALL)
     assert len(blocks) == 1
     exec(compile(blocks[0], str(README), "exec"), {})
