--- a/http_gateway/__main__.py
+++ b/http_gateway/__main__.py
@@ -1,4 +1,4 @@
-"""Starts one gateway: `python -m http_gateway`."""
+"""Runs one gateway: `python -m http_gateway`."""
 
 from __future__ import annotations
 
--- a/http_gateway/net/config.py
+++ b/http_gateway/net/config.py
@@ -1,4 +1,4 @@
-"""Environment and JSON to settings."""
+"""Reads the configuration of a gateway from the environment and its configuration file."""
 
 from __future__ import annotations
 
@@ -11,89 +11,133 @@
 
 import orjson
 
-from http_gateway.net.address import Address, parse_address
-from http_gateway.net.discovery.endpoint_list import EndpointList, read_endpoint_list
-from http_gateway.policy.settings import Settings
+from http_gateway.json_fields import FieldError, JsonFields
+from http_gateway.net.address import Address, AddressError, parse_address
+from http_gateway.net.discovery.endpoint_list import EndpointList, EndpointListError, read_endpoint_list
+from http_gateway.policy.settings import InvalidSettingsError, Settings
 from http_gateway.policy.time_units import US_PER_S
 from http_gateway.settings_reader import read_settings
 
-MAX_FILE = 16 * 1024 * 1024  # bytes; with a list of thousands of hosts it has less than one
-_FIXED = {"name": "PROXY_NAME", "listen": "PROXY_LISTEN"}  # for the life of the process
+MAX_FILE_BYTES = 16 * 1024 * 1024  # a file with a list of thousands of endpoints has less than 1 MiB
+DEFAULT_IDLE_TIMEOUT_US = 15 * US_PER_S
+DEFAULT_MAX_DESCRIPTORS = 1024
+
+# Fields that a variable may set: these two for the life of the process, the third for its start.
+_LIFETIME_VARIABLES = {"name": "PROXY_NAME", "listen": "PROXY_LISTEN"}
+_START_VARIABLES = {**_LIFETIME_VARIABLES, "discovery": "PROXY_DISCOVERY"}
 
 
 class ConfigError(Exception):
-    """The gateway cannot start with what it was told."""
+    """The configuration cannot be read or used."""
 
 
 @dataclass(frozen=True, slots=True)
 class GatewayConfig:
+    """The configuration of one gateway."""
+
     name: str
     listen_address: Address
     discovery_address: Address
     seed: int
-    cached_list: EndpointList
+    cached_list: EndpointList  # the last list of an earlier process
     settings: Settings
-    connect_timeout_s: float  # seconds after which a connection that is not made has failed
-    idle_timeout_s: float  # seconds after which a host closes an idle connection at the latest
-    max_descriptors: int  # descriptors that the process may hold
+    connect_timeout_s: float
+    idle_timeout_s: float  # endpoints close connections that are idle for this long, or earlier
+    max_descriptors: int  # that the process may open
 
 
 def load_config(environment: Mapping[str, str]) -> GatewayConfig:
-    """What to start with."""
-    # The environment comes first: an operator may set a variable for one start.
-    return _load(environment, {**_FIXED, "discovery": "PROXY_DISCOVERY"})
+    """Read the configuration at the start; variables override fields of the file.
+
+    Raises:
+        ConfigError: The configuration cannot be read or used.
+    """
+    return _load(environment, _START_VARIABLES)
 
 
 def reload_config(environment: Mapping[str, str]) -> GatewayConfig:
-    """What to go on with: the variables are as old as the start, so the file's word on discovery is newer."""
-    return _load(environment, _FIXED)
+    """Read the configuration again; the address of discovery comes from the file, which is newer.
 
+    Raises:
+        ConfigError: The configuration cannot be read or used.
+    """
+    return _load(environment, _LIFETIME_VARIABLES)
 
-def _load(environment: Mapping[str, str], overrides: Mapping[str, str]) -> GatewayConfig:
+
+def _load(environment: Mapping[str, str], variables: Mapping[str, str]) -> GatewayConfig:
     path = environment.get("PROXY_CONFIG")
     if not path:
         raise ConfigError("PROXY_CONFIG names no file")
+    document = _read_document(Path(path))
+    overrides = {field: environment[name] for field, name in variables.items() if environment.get(name)}
+    try:
+        return _read_config(JsonFields({**document, **overrides}))
+    except (FieldError, InvalidSettingsError) as error:
+        raise ConfigError(f"invalid configuration: {error}") from None
+
+
+def _read_document(path: Path) -> dict[str, Any]:
     try:
-        told = orjson.loads(_read(Path(path)))
+        document = orjson.loads(_read_file(path))
     except OSError as error:
         raise ConfigError(f"cannot read PROXY_CONFIG: {error.strerror}") from None
     except orjson.JSONDecodeError as error:
         raise ConfigError(f"PROXY_CONFIG is not JSON: {error}") from None
-    if not isinstance(told, dict):
-        raise ConfigError("PROXY_CONFIG holds no object")
-    told |= {key: environment[name] for key, name in overrides.items() if environment.get(name)}
-    try:
-        return _config(told)
-    except (ValueError, TypeError, KeyError, AttributeError) as error:
-        raise ConfigError(f"the configuration is no good: {type(error).__name__}: {error}") from None
+    if not isinstance(document, dict):
+        raise ConfigError("PROXY_CONFIG is not a JSON object")
+    return document
 
 
-def _read(path: Path) -> bytes:
+def _read_file(path: Path) -> bytes:
     with path.open("rb") as file:
-        text = file.read(MAX_FILE + 1)
-    if len(text) > MAX_FILE:
-        raise ConfigError(f"PROXY_CONFIG holds more than {MAX_FILE} bytes")
-    return text
-
-
-def _descriptors(told: int) -> int:
-    """How many the process may hold: the system may allow it less than the file says."""
-    allowed, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
-    return told if allowed == resource.RLIM_INFINITY else min(told, allowed)
+        content = file.read(MAX_FILE_BYTES + 1)
+    if len(content) > MAX_FILE_BYTES:
+        raise ConfigError(f"PROXY_CONFIG exceeds {MAX_FILE_BYTES} bytes")
+    return content
 
 
-def _config(told: Mapping[str, Any]) -> GatewayConfig:
-    setup = told["settings"]
-    settings = read_settings(setup)
-    limits, allowed = told.get("limits") or {}, setup.get("permissions") or {}
+def _read_config(fields: JsonFields) -> GatewayConfig:
+    settings = read_settings(fields.value("settings"))
+    permissions = fields.child("settings").child("permissions")
+    idle_timeout_us = permissions.integer("connIdle", DEFAULT_IDLE_TIMEOUT_US)
+    max_descriptors = fields.child("limits").integer("sockets", DEFAULT_MAX_DESCRIPTORS)
     return GatewayConfig(
-        name=str(told.get("name") or ""),
-        listen_address=parse_address(str(told["listen"]), min_port=0),
-        discovery_address=parse_address(str(told["discovery"])),
-        seed=int.from_bytes(blake2b(str(told.get("seed")).encode(), digest_size=8).digest(), "big"),
-        cached_list=read_endpoint_list(told.get("known") or {"members": []}),
+        name=fields.text("name"),
+        listen_address=_read_address(fields, "listen", min_port=0),
+        discovery_address=_read_address(fields, "discovery"),
+        seed=_read_seed(fields),
+        cached_list=_read_cached_list(fields),
         settings=settings,
         connect_timeout_s=settings.connect_timeout_us / US_PER_S,
-        idle_timeout_s=int(allowed.get("connIdle") or 15 * US_PER_S) / US_PER_S,
-        max_descriptors=_descriptors(int(limits.get("sockets") or 1024)),
+        idle_timeout_s=idle_timeout_us / US_PER_S,
+        max_descriptors=_limit_descriptors(max_descriptors),
     )
+
+
+def _read_address(fields: JsonFields, name: str, min_port: int = 1) -> Address:
+    if fields.value(name) is None:
+        raise FieldError(fields.path(name), "is missing")
+    try:
+        return parse_address(str(fields.value(name)), min_port)
+    except AddressError as error:
+        raise FieldError(fields.path(name), f"is invalid: {error}") from None
+
+
+def _read_seed(fields: JsonFields) -> int:
+    digest = blake2b(str(fields.value("seed")).encode(), digest_size=8).digest()
+    return int.from_bytes(digest, "big")
+
+
+def _read_cached_list(fields: JsonFields) -> EndpointList:
+    try:
+        return read_endpoint_list(fields.value("known") or {"members": []})
+    except EndpointListError as error:
+        raise FieldError(fields.path("known"), f"is invalid: {error}") from None
+
+
+def _limit_descriptors(configured: int) -> int:
+    """Return the configured number, or the system's limit if that is lower."""
+    soft_limit, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
+    if soft_limit == resource.RLIM_INFINITY:
+        return configured
+    return min(configured, soft_limit)
--- a/http_gateway/net/discovery/__init__.py
+++ b/http_gateway/net/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Discovery: the endpoint list, and the watch that keeps it fresh."""
+"""Discovery client: keeps the endpoint list up to date with a watch on the discovery service."""
--- a/http_gateway/net/discovery/endpoint_list.py
+++ b/http_gateway/net/discovery/endpoint_list.py
@@ -1,8 +1,8 @@
-"""Reads endpoint lists in discovery's form; the one place that maps its field names."""
+"""Reads the endpoint lists of discovery; the only module that knows their field names."""
 
 from __future__ import annotations
 
-from collections.abc import Mapping
+from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 from hashlib import blake2b
 from typing import Any
@@ -19,12 +19,12 @@
 
 
 class EndpointListError(ValueError):
-    """A document that is no endpoint list; the message says which part of it is wrong."""
+    """A document is not an endpoint list; the message names the invalid part."""
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointEntry:
-    """One endpoint of a list: as the policy knows it, and where it listens."""
+    """One endpoint of a list: its description for the policy, and the address at which it listens."""
 
     endpoint: Endpoint
     address: Address
@@ -35,31 +35,37 @@
     """One list that discovery has sent."""
 
     revision: int
-    is_complete: bool  # it names every endpoint, and not only those that changed
+    is_complete: bool  # it names every endpoint, not only those that have changed
     entries: tuple[EndpointEntry, ...]
 
 
 def endpoint_id(name: str) -> EndpointId:
-    """The policy's id of an endpoint: a hash, the same at every gateway and after a restart."""
+    """Return the policy's id of an endpoint: a hash, equal at all gateways and after a restart."""
     return int.from_bytes(blake2b(name.encode(), digest_size=8).digest(), "big")
 
 
 def read_endpoint_list(document: object) -> EndpointList:
-    """Read a decoded list; raises `EndpointListError`."""
+    """Read a decoded endpoint list.
+
+    An endpoint in a state that is not known is read as draining.
+
+    Raises:
+        EndpointListError: The document is not an endpoint list.
+    """
     if not isinstance(document, Mapping):
         raise EndpointListError("an endpoint list is not an object")
     members = document.get("members")
-    if not isinstance(members, list | tuple):
+    if not isinstance(members, Iterable):
         raise EndpointListError("members is not a list")
     try:
         revision = int(document.get("revision") or 0)
     except (ValueError, TypeError, OverflowError):
         raise EndpointListError("revision is not a whole number") from None
-    entries = tuple(_read_entry(entry, place) for place, entry in enumerate(members))
+    entries = tuple(_read_entry(entry, index) for index, entry in enumerate(members))
     return EndpointList(revision, bool(document.get("complete")), entries)
 
 
-def _read_entry(entry: Mapping[str, Any], place: int) -> EndpointEntry:
+def _read_entry(entry: Mapping[str, Any], index: int) -> EndpointEntry:
     try:
         endpoint = Endpoint(
             id=endpoint_id(str(entry["id"])),
@@ -72,4 +78,4 @@
         )
         return EndpointEntry(endpoint, parse_address(str(entry["host_port"])))
     except (ValueError, TypeError, KeyError, AttributeError, OverflowError) as error:
-        raise EndpointListError(f"members[{place}]: {type(error).__name__}: {error}") from error
+        raise EndpointListError(f"members[{index}]: {type(error).__name__}: {error}") from error
--- a/http_gateway/net/discovery/json_stream.py
+++ b/http_gateway/net/discovery/json_stream.py
@@ -1,17 +1,17 @@
-"""Splits a stream of JSON documents, however they are spaced and wherever the stream is cut."""
+"""Splits a stream into JSON documents, whatever their layout and the sizes of the received pieces."""
 
 from __future__ import annotations
 
 import re
 
-MAX_DOCUMENT_BYTES = 4 * 1024 * 1024  # more than a list of thousands of endpoints
+MAX_DOCUMENT_BYTES = 4 * 1024 * 1024  # a list of thousands of endpoints is smaller
 
-# Complete strings, so that brackets in them do not count; a lone quote begins a string that is incomplete.
+# Complete strings are tokens, so that brackets in them do not count; a single quote starts an incomplete one.
 _TOKEN = re.compile(rb'"(?:[^"\\]++|\\.)*+"|[{}\[\]"]', re.DOTALL)
 
 
 class JsonStreamError(ValueError):
-    """The stream holds something that cannot be an object or a list."""
+    """The stream contains something other than objects and lists, or a document that is too large."""
 
 
 class JsonStream:
@@ -19,8 +19,8 @@
 
     def __init__(self) -> None:
         self._buffer = b""
-        self._scanned = 0  # bytes of the buffer
-        self._depth = 0
+        self._scanned = 0  # bytes of the buffer that contain no further token
+        self._depth = 0  # open brackets
 
     @property
     def has_partial_document(self) -> bool:
@@ -28,29 +28,37 @@
         return bool(self._buffer)
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Take received bytes; return the documents that are complete now. Raises `JsonStreamError`."""
+        """Take received bytes and return the documents that are complete now.
+
+        Raises:
+            JsonStreamError: The stream contains neither an object nor a list, or a document is too large.
+        """
         self._buffer += data
-        complete, start, scanned = [], 0, len(self._buffer)
+        documents: list[bytes] = []
+        start = 0
+        scanned = len(self._buffer)
         for token in _TOKEN.finditer(self._buffer, self._scanned):
-            mark = token.group()
-            if mark == b'"':
+            text = token.group()
+            if text == b'"':
                 scanned = token.start()
                 break
-            if mark in (b"{", b"["):
+            if text in (b"{", b"["):
                 self._depth += 1
-            elif mark in (b"}", b"]"):
+            elif text in (b"}", b"]"):
                 self._depth = max(0, self._depth - 1)
                 if not self._depth:
-                    complete.append(self._buffer[start : token.end()])
+                    documents.append(self._buffer[start : token.end()])
                     start = token.end()
-        self._buffer, self._scanned = self._buffer[start:], scanned - start
-        self._check_rest()
-        return complete
+        self._buffer = self._buffer[start:]
+        self._scanned = scanned - start
+        self._check_remainder()
+        return documents
 
-    def _check_rest(self) -> None:
+    def _check_remainder(self) -> None:
         if not self._depth:
             if self._buffer.strip():
-                raise JsonStreamError("the stream holds neither an object nor a list")
-            self._buffer, self._scanned = b"", 0
+                raise JsonStreamError("the stream contains neither an object nor a list")
+            self._buffer = b""
+            self._scanned = 0
         if len(self._buffer) > MAX_DOCUMENT_BYTES:
             raise JsonStreamError(f"a document exceeds {MAX_DOCUMENT_BYTES} bytes")
--- a/http_gateway/service.py
+++ b/http_gateway/service.py
@@ -1,4 +1,4 @@
-"""The gateway as a program: start, signals, reload, exit."""
+"""The gateway as a program: start, signals, graceful shutdown and exit."""
 
 from __future__ import annotations
 
@@ -7,156 +7,166 @@
 import logging
 import os
 import signal
+import socket
 import sys
 from collections.abc import Sequence
-from dataclasses import replace
 
-from http_gateway.net.config import ConfigError, GatewayConfig, load_config, reload_config
+from http_gateway.net.config import ConfigError, GatewayConfig, load_config
+from http_gateway.net.config_reload import ConfigReloader
 from http_gateway.net.discovery.client import DiscoveryClient
 from http_gateway.net.frontend.listener import Frontend
+from http_gateway.net.log_rate_limit import LogRateLimiter
+from http_gateway.net.loop_lag import LoopLagMonitor
 from http_gateway.net.request_dispatcher import RequestDispatcher
 from http_gateway.net.upstream.pool import UpstreamPool
 from http_gateway.policy.balancer import Balancer
 from http_gateway.policy.time_units import US_PER_S
 
-log = logging.getLogger("http_gateway")
-
-RESERVED = 32  # descriptors for all that is no client's and no host's connection, or not counted yet
-STILL_ACCEPTING = 0.5  # seconds for which connections go on coming after SIGTERM
-# Seconds for which a start waits to hear from the agent on this machine, since the list of the last run may
-# name hosts that have left. It answers at once if at all; the wait outlasts a short outage of discovery, and
-# leaves the start itself a second and a half of the 10 s within which a restarted gateway has to be ready.
-FIRST_LIST_TIME = 8.5
-LAG_STEP, LAG_SHOWN = 0.1, 0.05
-SELDOM = 1.0  # seconds between two log lines of a kind
-
-
-async def serve(config: GatewayConfig, early: Sequence[int] = ()) -> None:
-    """Run until SIGTERM; `early` are the signals to read the file again that came after it was read."""
-    half = max(1, (config.max_descriptors - RESERVED) // 2)
-    upstream = UpstreamPool(config.connect_timeout_s, config.idle_timeout_s, half)
-    dispatcher = RequestDispatcher(Balancer(config.settings, config.seed), upstream)
-    dispatcher.update_endpoints(config.cached_list, is_cached=True)
-    frontend = Frontend(dispatcher, config.settings, half)
-    stop = asyncio.Event()
-    loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop.set)
-    try:
-        listener = frontend.bind(*config.listen_address)
-    except OSError as error:
-        raise ConfigError(
-            f"cannot listen on {config.listen_address[0]}:{config.listen_address[1]}: {error.strerror}"
-        ) from None
-    discovery = DiscoveryClient(
-        config.discovery_address, config.cached_list.revision, dispatcher.update_endpoints, config.settings
-    )
-    discovery.start()
-    reload_file = _Reload(config, discovery)
-    loop.add_signal_handler(signal.SIGHUP, reload_file)
-    if early:
-        reload_file()
-    if not config.settings.discovery_is_polled:
-        await _any_of(FIRST_LIST_TIME, discovery.first_list_received, stop)
-        if not discovery.first_list_received.is_set():
-            log.warning("discovery has said nothing yet; going on with the list of the last run")
-    port = await frontend.listen(listener)
-    lag = loop.create_task(_watch_lag())
-    # What exists now stays: the collector need not look at it again, which would hold up the loop.
-    gc.collect()
-    gc.freeze()
-    log.info("%s listens on %s:%d", config.name, config.listen_address[0], port)
-    await stop.wait()
-    log.info("stopping: %d requests held", dispatcher.unanswered_count)
-    longest = max(kind.timeout_us for kind in config.settings.classes) / US_PER_S
-    frontend.begin_shutdown(loop.time() + STILL_ACCEPTING + longest)
-    await asyncio.sleep(STILL_ACCEPTING)
-    await frontend.accept_backlog()
-    frontend.stop_accepting()
-    await _until_answered(frontend)
-    discovery.stop()
-    lag.cancel()
-
-
-async def _any_of(seconds: float, *events: asyncio.Event) -> None:
-    """Wait for the first of them, but no longer than so many seconds."""
-    waits = [asyncio.create_task(event.wait()) for event in events]
-    await asyncio.wait(waits, timeout=seconds, return_when=asyncio.FIRST_COMPLETED)
-    for wait in waits:
-        wait.cancel()
+log = logging.getLogger(__name__)
 
+RESERVED_DESCRIPTORS = 32  # for everything but connections of clients and to endpoints
+ACCEPT_AFTER_SIGTERM_S = 0.5  # clients still connect for this long
+# The cached list may name endpoints that are draining or removed. The wait outlasts a short outage of
+# discovery, and leaves 1.5 s of the 10 s within which a restarted gateway has to be ready.
+FIRST_LIST_TIMEOUT_S = 8.5
+DRAIN_CHECK_INTERVAL_S = 0.01
 
-class _Seldom(logging.Filter):
-    """Peers can cause some lines at will: of a kind, one in a second is enough."""
+EXIT_OK = 0
+EXIT_CONFIG_ERROR = 2
 
-    def __init__(self) -> None:
-        super().__init__()
-        self._said: dict[str, float] = {}  # by the text without its figures: as many as the source holds
-        self._left_out: dict[str, int] = {}
+_STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 
-    def filter(self, record: logging.LogRecord) -> bool:
-        kind = str(record.msg)
-        if record.created < self._said.get(kind, 0.0) + SELDOM:
-            self._left_out[kind] = self._left_out.get(kind, 0) + 1
-            return False
-        self._said[kind] = record.created
-        left_out = self._left_out.pop(kind, 0)
-        if left_out:
-            record.msg = f"{kind} ({left_out} such lines left out)"
-        return True
 
+class GatewayService:
+    """One gateway from its start to its exit. Needs a running event loop.
 
-class _Reload:
-    """On SIGHUP: read the file again, and watch the discovery that it names."""
+    Args:
+        config: The configuration to start with.
+    """
 
-    def __init__(self, config: GatewayConfig, discovery: DiscoveryClient) -> None:
+    def __init__(self, config: GatewayConfig) -> None:
+        max_connections = max(1, (config.max_descriptors - RESERVED_DESCRIPTORS) // 2)
         self._config = config
-        self._discovery = discovery
-
-    def __call__(self) -> None:
+        self._loop = asyncio.get_running_loop()
+        self._pool = UpstreamPool(config.connect_timeout_s, config.idle_timeout_s, max_connections)
+        self._dispatcher = RequestDispatcher(Balancer(config.settings, config.seed), self._pool)
+        self._dispatcher.update_endpoints(config.cached_list, is_cached=True)
+        self._frontend = Frontend(self._dispatcher, config.settings, max_connections)
+        self._discovery = DiscoveryClient(
+            config.discovery_address,
+            config.cached_list.revision,
+            self._dispatcher.update_endpoints,
+            config.settings,
+        )
+        self._reloader = ConfigReloader(config, self._discovery, os.environ)
+        self._lag_monitor = LoopLagMonitor()
+        self._stop_requested = asyncio.Event()
+
+    async def run(self, early_reloads: Sequence[int]) -> None:
+        """Serve until SIGTERM or SIGINT.
+
+        Args:
+            early_reloads: SIGHUPs that came after the configuration was read, and before this.
+
+        Raises:
+            ConfigError: The gateway cannot listen on its address.
+        """
+        for number in _STOP_SIGNALS:
+            self._loop.add_signal_handler(number, self._stop_requested.set)
+        listener = self._bind()
+        self._discovery.start()
         try:
-            told = reload_config(os.environ)
-        except ConfigError as error:
-            log.error("reload: %s; going on with what is in force", error)
+            self._enable_reload(early_reloads)
+            await self._wait_for_first_list()
+            await self._listen(listener)
+            await self._stop_requested.wait()
+            await self._shut_down()
+        finally:
+            self._discovery.stop()
+            self._lag_monitor.stop()
+
+    def _bind(self) -> socket.socket:
+        host, port = self._config.listen_address
+        try:
+            return self._frontend.bind(host, port)
+        except OSError as error:
+            raise ConfigError(f"cannot listen on {host}:{port}: {error.strerror}") from None
+
+    def _enable_reload(self, early_reloads: Sequence[int]) -> None:
+        self._loop.add_signal_handler(signal.SIGHUP, self._reloader.reload)
+        if early_reloads:
+            self._reloader.reload()
+
+    async def _wait_for_first_list(self) -> None:
+        """Wait for the agent on this machine, which responds at once; other services may take long."""
+        if self._config.settings.discovery_is_polled:
             return
-        old, self._config = self._config, replace(self._config, discovery_address=told.discovery_address)
-        if told.discovery_address != old.discovery_address:
-            log.info("reload: discovery is now at %s:%d", *told.discovery_address)
-            self._discovery.move_to(told.discovery_address)
-        # These two are new in every file, and of use at a start alone.
-        if replace(told, seed=old.seed, cached_list=old.cached_list) != self._config:
-            log.warning("reload: only discovery changes; the rest of the file waits for the next start")
+        first_list_received = self._discovery.first_list_received
+        await _wait_for_any(FIRST_LIST_TIMEOUT_S, first_list_received, self._stop_requested)
+        if not first_list_received.is_set():
+            log.warning("discovery has not responded, using the cached endpoint list")
+
+    async def _listen(self, listener: socket.socket) -> None:
+        port = await self._frontend.listen(listener)
+        self._lag_monitor.start()
+        # Objects that exist now stay: without them, collections do not delay the loop.
+        gc.collect()
+        gc.freeze()
+        log.info("listening name=%s address=%s:%d", self._config.name, self._config.listen_address[0], port)
+
+    async def _shut_down(self) -> None:
+        """Go on accepting for a moment, then answer what has been accepted."""
+        log.info("shutdown started unanswered_requests=%d", self._dispatcher.unanswered_count)
+        longest_timeout_us = max(request_class.timeout_us for request_class in self._config.settings.classes)
+        deadline_at_s = self._loop.time() + ACCEPT_AFTER_SIGTERM_S + longest_timeout_us / US_PER_S
+        self._frontend.begin_shutdown(deadline_at_s)
+        await asyncio.sleep(ACCEPT_AFTER_SIGTERM_S)
+        await self._frontend.accept_backlog()
+        self._frontend.stop_accepting()
+        await self._wait_for_connections(deadline_at_s)
+
+    async def _wait_for_connections(self, deadline_at_s: float) -> None:
+        """Wait until every connection has closed after its response; a client may fail to read it."""
+        try:
+            async with asyncio.timeout_at(deadline_at_s):
+                while self._frontend.connections:
+                    await asyncio.sleep(DRAIN_CHECK_INTERVAL_S)
+        except TimeoutError:
+            log.warning("connections still open at exit count=%d", len(self._frontend.connections))
 
 
-async def _until_answered(frontend: Frontend) -> None:
-    """Each connection closes with its answer; one who doesn't read must not hold up the exit."""
-    try:
-        async with asyncio.timeout_at(frontend.ends):
-            while frontend.connections:
-                await asyncio.sleep(0.01)
-    except TimeoutError:
-        log.warning("%d connections were still open at the exit", len(frontend.connections))
+async def serve(config: GatewayConfig, early_reloads: Sequence[int] = ()) -> None:
+    """Run a gateway until SIGTERM or SIGINT.
+
+    Args:
+        config: The configuration to start with.
+        early_reloads: SIGHUPs that came after the configuration was read.
 
+    Raises:
+        ConfigError: The gateway cannot listen on its address.
+    """
+    await GatewayService(config).run(early_reloads)
 
-async def _watch_lag() -> None:
-    """Say so when the loop runs late: every deadline is then met late."""
-    loop = asyncio.get_running_loop()
-    while True:
-        due = loop.time() + LAG_STEP
-        await asyncio.sleep(LAG_STEP)
-        if loop.time() - due > LAG_SHOWN:
-            log.warning("the loop runs %d ms late", (loop.time() - due) * 1000)
+
+async def _wait_for_any(timeout_s: float, *events: asyncio.Event) -> None:
+    """Wait until one of the events is set, or the time is over."""
+    waits = [asyncio.create_task(event.wait()) for event in events]
+    try:
+        await asyncio.wait(waits, timeout=timeout_s, return_when=asyncio.FIRST_COMPLETED)
+    finally:
+        for wait in waits:
+            wait.cancel()
 
 
-async def _to_the_end(config: GatewayConfig, early: Sequence[int]) -> None:
-    """Serve, and let no signal through after that: without a handler it would end us as though by a crash."""
+async def _serve_until_exit(config: GatewayConfig, early_reloads: Sequence[int]) -> None:
+    """Serve, then block signals: without handlers they would end the process as if it had crashed."""
     try:
-        await serve(config, early)
+        await serve(config, early_reloads)
     finally:
-        signal.pthread_sigmask(signal.SIG_BLOCK, (signal.SIGHUP, signal.SIGTERM, signal.SIGINT))
+        signal.pthread_sigmask(signal.SIG_BLOCK, (signal.SIGHUP, *_STOP_SIGNALS))
 
 
-def main() -> int:
+def _set_up_logging() -> None:
     logging.basicConfig(
         stream=sys.stderr,
         level=logging.INFO,
@@ -164,12 +174,17 @@
         datefmt="%H:%M:%S",
     )
     for handler in logging.getLogger().handlers:
-        handler.addFilter(_Seldom())
-    early: list[int] = []  # such a signal would end the program, or find the file read and be lost
-    signal.signal(signal.SIGHUP, lambda number, _: early.append(number))
+        handler.addFilter(LogRateLimiter())
+
+
+def main() -> int:
+    """Run the gateway that the environment configures; return the exit code."""
+    _set_up_logging()
+    early_reloads: list[int] = []  # until the loop handles it, a SIGHUP would end the process
+    signal.signal(signal.SIGHUP, lambda number, _: early_reloads.append(number))
     try:
-        asyncio.run(_to_the_end(load_config(os.environ), early))
+        asyncio.run(_serve_until_exit(load_config(os.environ), early_reloads))
     except ConfigError as error:
         print(f"http_gateway: {error}", file=sys.stderr)
-        return 2
-    return 0
+        return EXIT_CONFIG_ERROR
+    return EXIT_OK
--- a/http_gateway/settings_reader.py
+++ b/http_gateway/settings_reader.py
@@ -1,7 +1,7 @@
 """Reads the settings object of the protocol into the policy's settings.
 
 A gateway finds the object in its configuration, an instance in the simulator's first message. Its field names
-are those of the protocol; this is the one place that maps them.
+are those of the protocol; this is the only module that maps them.
 """
 
 from __future__ import annotations
@@ -24,14 +24,23 @@
 
 
 def read_settings(value: object, path: str = "settings") -> Settings:
-    """Read a decoded settings object that stands at `path`; raises `FieldError` or `InvalidSettingsError`."""
+    """Read a decoded settings object.
+
+    Args:
+        value: The object; its times are whole microseconds.
+        path: Its place in the document, for error messages.
+
+    Raises:
+        FieldError: A field cannot be read.
+        InvalidSettingsError: The policy cannot work with a value.
+    """
     fields = JsonFields(value, path)
     permissions = fields.child("permissions")
     invariants = fields.child("invariants")
     fees = fields.child("fees")
     reports = fields.child("report").value("how")
     gateway_count = fields.integer("balancers", 1)
-    over_quota_weight = 1.0 if fields.value("overShareWorth") is None else fields.number("overShareWorth")
+    over_quota_weight = fields.optional_number("overShareWorth")
     return Settings(
         classes=tuple(_read_request_class(entry) for entry in fields.children("classes")),
         zone=fields.text("locality"),
@@ -57,12 +66,12 @@
         cross_zone_cost=fees.number("crossZone"),
         health_check_cost=fees.number("probe"),
         tenant_quotas_per_s=_read_tenant_quotas(fields, gateway_count),
-        over_quota_weight=over_quota_weight,
+        over_quota_weight=1.0 if over_quota_weight is None else over_quota_weight,
     )
 
 
 def _read_tenant_quotas(fields: JsonFields, gateway_count: int) -> dict[str, float]:
-    """The part of each tenant's quota that this gateway may use, in requests per second."""
+    """This gateway's part of each tenant's quota, in requests per second."""
     return {
         str(tenant.value("name")): tenant.number("allowancePerS") / gateway_count
         for tenant in fields.children("realms")
--- /dev/null
+++ b/tests/integration/test_discovery_client.py
@@ -0,0 +1,228 @@
+"""The discovery client: concurrent calls, poll slots, retries and moves to another service."""
+
+from __future__ import annotations
+
+import asyncio
+import select
+
+import pytest
+
+from http_gateway.net.discovery import client as client_module
+from http_gateway.net.discovery import poll_schedule, session
+from http_gateway.net.discovery.client import DiscoveryClient
+from http_gateway.net.discovery.endpoint_list import EndpointList
+from http_gateway.net.discovery.poll_schedule import PollSchedule
+from http_gateway.net.discovery.watch import DiscoveryWatch
+from http_gateway.net.http.messages import Message
+from http_gateway.policy.time_units import US_PER_S
+from tests.support.discovery import (
+    PUSHED_SETTINGS,
+    REJECTION,
+    WATCH_HEAD,
+    accept_watch,
+    chunk,
+    list_document,
+    polled_settings,
+    received_lists,
+    running_client,
+)
+from tests.support.loopback import (
+    LoopbackPeer,
+    abort_with_reset,
+    async_test,
+    never_respond,
+    start_peers,
+    wait_until,
+)
+
+
+@pytest.mark.parametrize("moves", [False, True])
+@async_test
+async def test_first_poll_waits_for_the_slot(monkeypatch: pytest.MonkeyPatch, moves: bool) -> None:
+    """Gateways that are all killed at once, or all moved to another service, would call in one moment."""
+    monkeypatch.setattr(poll_schedule, "POLL_ROUND_S", 0.4)
+    monkeypatch.setattr("time.time", lambda: 0.0)
+    async with start_peers(accept_watch) as (service,):
+        loop = asyncio.get_running_loop()
+        lists: list[EndpointList] = []
+        address = ("127.0.0.1", service.port)
+        client = DiscoveryClient(address, 0, lists.append, polled_settings(4, gateway_index=3))
+        started_at_s = loop.time()
+        if moves:
+            client.move_to(address)
+        else:
+            client.start()
+        await wait_until(lambda: service.requests)
+        assert loop.time() - started_at_s >= 0.3 - 0.01
+        client.stop()
+
+
+@async_test
+async def test_broken_watch_on_an_agent_is_open_again_within_the_drain_grace(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """The delay must not grow with the number of gateways: draining endpoints would still get requests.
+
+    An agent on this machine responds at once, and its changes count as received.
+    """
+    delays_s: list[float] = []
+
+    class RecordingSchedule(PollSchedule):
+        """Records every delay."""
+
+        def next_delay_s(self, now_s: float) -> float:
+            delays_s.append(super().next_delay_s(now_s))
+            return delays_s[-1]
+
+    async def script(request: Message, writer: asyncio.StreamWriter) -> None:
+        writer.write(WATCH_HEAD + chunk(list_document(41 + len(service.requests))))
+        if len(service.requests) == 1:
+            abort_with_reset(writer)
+
+    monkeypatch.setattr(client_module, "PollSchedule", RecordingSchedule)
+    async with start_peers(script) as (service,):
+        async with received_lists(service, 41, PUSHED_SETTINGS) as lists:
+            await wait_until(lambda: lists and lists[-1].revision == 43)
+        assert delays_s
+        assert sum(delays_s) < PUSHED_SETTINGS.drain_grace_us / US_PER_S / 2
+
+
+@async_test
+async def test_unanswered_call_to_an_agent_does_not_delay_the_next() -> None:
+    """The agent may be back while that call stays unanswered, and its changes count as received at once."""
+
+    async def script(request: Message, writer: asyncio.StreamWriter) -> None:
+        if len(service.requests) == 3:
+            closed_counts.append(service.closed)
+            writer.write(WATCH_HEAD + chunk(list_document(42)))
+
+    closed_counts: list[int] = []
+    async with start_peers(script) as (service,):
+        async with received_lists(service, 41, PUSHED_SETTINGS) as lists:
+            await wait_until(lambda: lists)
+            await wait_until(lambda: service.closed == 2)  # the unanswered ones
+        assert closed_counts == [0]
+
+
+async def wait_for_requests(peer: LoopbackPeer, count: int) -> None:
+    """Wait until a peer has received so many requests."""
+    await wait_until(lambda: len(peer.requests) >= count)
+
+
+@async_test
+async def test_silent_agent_is_called_on_few_connections() -> None:
+    async with start_peers(never_respond) as (service,):
+        most = 0
+        async with received_lists(service, 41, PUSHED_SETTINGS):
+            for count in range(3 * session.MAX_CONCURRENT_CALLS):
+                await wait_for_requests(service, count + 1)
+                most = max(most, service.connections - service.closed)
+        await wait_until(lambda: service.connections == service.closed)
+        assert most <= session.MAX_CONCURRENT_CALLS + 1  # the close of the cancelled one may come later
+
+
+@async_test
+async def test_only_the_first_of_two_accepted_watches_is_used() -> None:
+    """Both responses are ready in one turn of the loop; the second is older than the list of the first."""
+    async with (
+        start_peers(never_respond) as (service,),
+        received_lists(service, 41, PUSHED_SETTINGS) as lists,
+    ):
+        await wait_for_requests(service, 2)
+        for writer, revision in zip(service.request_writers[:2][::-1], (43, 42), strict=True):
+            writer.write(WATCH_HEAD + chunk(list_document(revision)))
+        await wait_until(lambda: lists and service.closed)
+        for writer in service.request_writers[:2]:
+            writer.write(chunk(list_document(44)))
+        await wait_until(lambda: lists[-1].revision == 44)
+        assert len({received.revision for received in lists}) == 2
+
+
+@pytest.mark.parametrize("revision", [41, 0])
+@async_test
+async def test_list_of_the_previous_service_is_ignored_after_a_move(
+    monkeypatch: pytest.MonkeyPatch, revision: int
+) -> None:
+    """It is ready as the client moves; its revision would mean nothing to the new service."""
+    watches: list[tuple[DiscoveryWatch, asyncio.BaseTransport]] = []
+
+    class RecordedWatch(DiscoveryWatch):
+        """Records its transport."""
+
+        def connection_made(self, transport: asyncio.BaseTransport) -> None:
+            super().connection_made(transport)
+            watches.append((self, transport))
+
+    def accepted_transports() -> list[asyncio.BaseTransport]:
+        return [transport for watch, transport in watches if watch.accepted.done() and not watch.ended.done()]
+
+    monkeypatch.setattr(session, "DiscoveryWatch", RecordedWatch)
+    async with (
+        start_peers(accept_watch, accept_watch) as (old, new),
+        running_client(old, revision, PUSHED_SETTINGS) as (client, lists),
+    ):
+        await wait_until(accepted_transports)
+        old.writers[0].write(chunk(list_document(57)))
+        # The list has arrived, and has not been read.
+        select.select([accepted_transports()[0].get_extra_info("socket")], [], [])
+        client.move_to(("127.0.0.1", new.port))
+        await wait_until(lambda: new.requests and old.closed)
+        assert new.requests[0].target.endswith(b"from=0")
+        assert not lists
+        new.writers[0].write(chunk(list_document(3)))
+        await wait_until(lambda: lists)
+        assert [received.revision for received in lists] == [3]
+
+
+@async_test
+async def test_moves_in_quick_succession_end_at_the_last_service() -> None:
+    """The client moves on before the connection to the service between is made, or as soon as it is."""
+    async with (
+        start_peers(accept_watch, accept_watch, accept_watch) as (old, between, new),
+        running_client(old, 41, PUSHED_SETTINGS) as (client, lists),
+    ):
+        await wait_until(lambda: old.requests)
+        client.move_to(("127.0.0.1", between.port))
+        client.move_to(("127.0.0.1", old.port))
+        client.move_to(("127.0.0.1", between.port))
+        await asyncio.sleep(0)  # it connects
+        client.move_to(("127.0.0.1", new.port))
+        await wait_until(lambda: new.requests and old.closed)
+        new.writers[0].write(chunk(list_document(3)))
+        await wait_until(lambda: lists)
+        await wait_until(lambda: between.connections == between.closed)
+        assert not between.requests
+
+
+@async_test
+async def test_rejected_call_puts_the_client_on_poll_slots_until_the_next_list(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """An agent of one gateway rejects no call; frequent calls would keep a shared service overloaded."""
+    states: list[tuple[bool, int]] = []
+
+    class RecordingSchedule(PollSchedule):
+        """Records its state, and never delays a call."""
+
+        def next_delay_s(self, now_s: float) -> float:
+            states.append((self.is_shared, self.round_count))
+            return 0.0
+
+    async def script(request: Message, writer: asyncio.StreamWriter) -> None:
+        if len(service.requests) == 1:
+            writer.write(REJECTION)
+        elif len(service.requests) == 2:
+            writer.write(WATCH_HEAD + chunk(list_document(42)))
+            abort_with_reset(writer)
+        else:
+            writer.write(WATCH_HEAD)
+
+    monkeypatch.setattr(client_module, "PollSchedule", RecordingSchedule)
+    async with (
+        start_peers(script) as (service,),
+        running_client(service, 41, PUSHED_SETTINGS) as (client, _),
+    ):
+        await wait_until(lambda: len(service.requests) == 3)
+        assert client.first_list_received.is_set()
+        assert [is_shared for is_shared, _ in states] == [True, False]
+        assert states[1] == (False, 1)
--- a/tests/integration/test_service_limits.py
+++ b/tests/integration/test_service_limits.py
@@ -1,4 +1,4 @@
-"""The program at its limits: descriptors, large lists, files and lists that are of no use."""
+"""The program at its limits: descriptors, large lists, malformed files and lists."""
 
 from __future__ import annotations
 
@@ -18,17 +18,7 @@
 from http_gateway.net import config
 from http_gateway.net.discovery import json_stream
 from http_gateway.net.http.messages import Message
-from tests.integration.test_discovery import HEAD, chunk, list_document
-from tests.integration.test_service import (
-    SETUP,
-    config_document,
-    free_port,
-    listening_port,
-    next_log_line,
-    readiness_status,
-    running_service,
-    write_config,
-)
+from tests.support.discovery import WATCH_HEAD, chunk, list_document
 from tests.support.loopback import (
     LoopbackClient,
     LoopbackPeer,
@@ -40,13 +30,25 @@
     start_peers,
     wait_until,
 )
+from tests.support.service import (
+    SETTINGS_DOCUMENT,
+    config_document,
+    free_port,
+    listening_port,
+    next_log_line,
+    readiness_status,
+    remaining_log,
+    response_body,
+    running_service,
+    write_config,
+)
 
-DESCRIPTORS = 128
-MANY = 1024  # hosts, and gateways
+MAX_DESCRIPTORS = 128
+LARGE_COUNT = 1024  # of endpoints, and of gateways
 
 
 def connect_idle_clients(port: int, count: int) -> list[socket.socket]:
-    """So many clients that connect and say nothing."""
+    """Connect so many clients that send nothing."""
     clients = [socket.socket() for _ in range(count)]
     for client in clients:
         client.setblocking(False)
@@ -55,154 +57,142 @@
     return clients
 
 
-@pytest.mark.parametrize("told_to_it", [DESCRIPTORS, 1024])
+@pytest.mark.parametrize("configured", [MAX_DESCRIPTORS, 1024])
 @async_test
 async def test_idle_clients_leave_descriptors_for_discovery_and_requests(
-    tmp_path: Path, told_to_it: int
+    tmp_path: Path, configured: int
 ) -> None:
-    """They fill what there is while discovery is down; the system may allow less than the file says."""
-    limits = {"cores": 1.0, "memory_mb": 192, "sockets": told_to_it}
+    """They use all descriptors while discovery is down; the system may allow fewer than the file says."""
+    limits = {"cores": 1.0, "memory_mb": 192, "sockets": configured}
 
-    async def lists(request: Message, writer: asyncio.StreamWriter) -> None:
-        writer.write(HEAD + chunk(list_document(40 + len(discovery.requests), host.list_entry())))
+    async def send_list(request: Message, writer: asyncio.StreamWriter) -> None:
+        document = list_document(40 + len(discovery.requests), endpoint.list_entry())
+        writer.write(WATCH_HEAD + chunk(document))
 
     async with (
-        start_peers(respond_with(), lists) as (host, discovery),
+        start_peers(respond_with(), send_list) as (endpoint, discovery),
         running_service(
-            tmp_path, config_document(discovery.port, limits=limits), descriptors=DESCRIPTORS
+            tmp_path, config_document(discovery.port, limits=limits), max_descriptors=MAX_DESCRIPTORS
         ) as process,
     ):
         port = await listening_port(process)
-        lines = asyncio.create_task(_log(process))
+        log = asyncio.create_task(remaining_log(process))
         discovery.stop()
-        clients: list[socket.socket] = []
+        idle_clients: list[socket.socket] = []
         for _ in range(6):
-            clients += connect_idle_clients(port, 2 * DESCRIPTORS)
+            idle_clients += connect_idle_clients(port, 2 * MAX_DESCRIPTORS)
             await asyncio.sleep(0.1)
-        asked = len(discovery.requests)
+        request_count = len(discovery.requests)
         await discovery.start()
-        await wait_until(lambda: len(discovery.requests) > asked)
+        await wait_until(lambda: len(discovery.requests) > request_count)
         client = await LoopbackClient.connect(port)
         assert (await client.request()).status == 200
         client.close()
-        for other in clients:
-            other.close()
+        for idle_client in idle_clients:
+            idle_client.close()
         process.send_signal(signal.SIGTERM)
-        text = await lines
+        text = await log
         assert "Traceback" not in text
         assert "out of system resource" not in text
 
 
-async def _log(process: asyncio.subprocess.Process) -> str:
-    assert process.stderr is not None
-    return (await process.stderr.read()).decode()
-
-
 @async_test
-async def test_a_restarted_gateway_is_ready_within_ten_seconds_though_the_agent_is_silent(
-    tmp_path: Path,
-) -> None:
-    """With the time that the start itself may take on a busy machine, a second and a half."""
-    async with start_peers(respond_with(), never_respond) as (host, discovery):
-        began = time.monotonic()
+async def test_restarted_gateway_is_ready_within_ten_seconds_if_the_agent_is_silent(tmp_path: Path) -> None:
+    """The start itself may take a second and a half on a busy machine."""
+    async with start_peers(respond_with(), never_respond) as (endpoint, discovery):
+        started_at_s = time.monotonic()
         port = free_port()
-        config = config_document(discovery.port, host.list_entry(), listen=f"127.0.0.1:{port}")
-        async with running_service(tmp_path, config) as process:
-            await next_log_line(process, "listens on")
+        document = config_document(discovery.port, endpoint.list_entry(), listen=f"127.0.0.1:{port}")
+        async with running_service(tmp_path, document) as process:
+            await next_log_line(process, "listening name=")
             assert await readiness_status(port) == 200
-            assert time.monotonic() - began < 10
-    assert service.FIRST_LIST_TIME <= 8.5
+            assert time.monotonic() - started_at_s < 10
+    assert service.FIRST_LIST_TIMEOUT_S <= 8.5
 
 
-def entries(host: LoopbackPeer, count: int = MANY) -> list[dict[str, Any]]:
-    """A host that is there, and many that drain."""
-    others = [host.list_entry("Terminating", id=f"s-{number:08x}") for number in range(count - 1)]
-    return [host.list_entry(id="s-there"), *others]
+def many_entries(endpoint: LoopbackPeer, count: int = LARGE_COUNT) -> list[dict[str, Any]]:
+    """The entries of one endpoint that is ready, and of many that drain."""
+    draining = [endpoint.list_entry("Terminating", id=f"s-{number:08x}") for number in range(count - 1)]
+    return [endpoint.list_entry(id="s-ready"), *draining]
 
 
-@pytest.mark.parametrize("asked", [False, True])
+@pytest.mark.parametrize("is_polled", [False, True])
 @async_test
-async def test_a_list_of_many_hosts_is_taken_at_the_start_changed_and_read_again(
-    tmp_path: Path, asked: bool
+async def test_list_of_many_endpoints_is_cached_updated_and_received_again(
+    tmp_path: Path, is_polled: bool
 ) -> None:
-    written: list[asyncio.StreamWriter] = []
-    settings = SETUP | {"balancers": MANY, "rank": 0, "registryMode": "subscribe" if asked else "automatic"}
-
-    async def whole(request: Message, writer: asyncio.StreamWriter) -> None:
-        text = list_document(len(discovery.requests) + 41, *entries(host))
-        for place in range(0, len(text), 5000):
-            writer.write((b"" if place else HEAD) + chunk(text[place : place + 5000]))
+    watch_writers: list[asyncio.StreamWriter] = []
+    mode = "subscribe" if is_polled else "automatic"
+    settings = SETTINGS_DOCUMENT | {"balancers": LARGE_COUNT, "rank": 0, "registryMode": mode}
+
+    async def send_in_pieces(request: Message, writer: asyncio.StreamWriter) -> None:
+        document = list_document(len(discovery.requests) + 41, *many_entries(endpoint))
+        for start in range(0, len(document), 5000):
+            writer.write((b"" if start else WATCH_HEAD) + chunk(document[start : start + 5000]))
             await asyncio.sleep(0)
-        written.append(writer)
+        watch_writers.append(writer)
 
-    async with start_peers(respond_with(body=b"old"), respond_with(body=b"new"), whole, whole) as (
-        host,
-        fresh,
-        discovery,
-        other,
-    ):
-        config = config_document(discovery.port, *entries(host), settings=settings)
-        async with running_service(tmp_path, config) as process:
+    async with start_peers(
+        respond_with(body=b"old"), respond_with(body=b"new"), send_in_pieces, send_in_pieces
+    ) as (endpoint, added, discovery, other_discovery):
+        document = config_document(discovery.port, *many_entries(endpoint), settings=settings)
+        async with running_service(tmp_path, document) as process:
             port = await listening_port(process)
-            assert await answer(port) == b"old"
-            await wait_until(lambda: written)
-            change = [host.list_entry("Terminating", id="s-there"), fresh.list_entry(id="s-fresh")]
-            change += [host.list_entry("Gone", id=entry["id"]) for entry in entries(host)[1:]]
-            written[0].write(chunk(list_document(60, *change, complete=False)))
-            await until_served(port, b"new")
-            # The service it moves to has the first list.
-            write_config(tmp_path, config_document(other.port, *entries(host), settings=settings))
+            assert await response_body(port) == b"old"
+            await wait_until(lambda: watch_writers)
+            changes = [endpoint.list_entry("Terminating", id="s-ready"), added.list_entry(id="s-added")]
+            changes += [endpoint.list_entry("Gone", id=entry["id"]) for entry in many_entries(endpoint)[1:]]
+            watch_writers[0].write(chunk(list_document(60, *changes, complete=False)))
+            await wait_for_body(port, b"new")
+            # The other service sends the first list.
+            document = config_document(other_discovery.port, *many_entries(endpoint), settings=settings)
+            write_config(tmp_path, document)
             process.send_signal(signal.SIGHUP)
-            await wait_until(lambda: other.requests)
-            await until_served(port, b"old")
-            assert other.requests[0].target.endswith(b"from=0")
+            await wait_until(lambda: other_discovery.requests)
+            await wait_for_body(port, b"old")
+            assert other_discovery.requests[0].target.endswith(b"from=0")
 
 
-async def until_served(port: int, body: bytes) -> None:
+async def wait_for_body(port: int, body: bytes) -> None:
+    """Send requests until one gets a response with this body."""
     async with asyncio.timeout(20):
-        while await answer(port) != body:
+        while await response_body(port) != body:
             await asyncio.sleep(0.02)
 
 
-async def answer(port: int) -> bytes:
-    client = await LoopbackClient.connect(port)
-    body = (await client.request()).body
-    client.close()
-    return body
-
-
-SPOILT: dict[str, Callable[[bytes], bytes]] = {
-    "cut short": lambda text: text[: len(text) // 2],
-    "garbled": lambda text: text[:-30] + b"\x00\xff" + text[-28:],
-    "no list": lambda text: b'{"revision":50,"complete":true,"members":{"id":"s-1"}}\n',
-    "a number beyond all": lambda text: text.replace(b'"cell":0', b'"cell":1e400'),
-    "nested without end": lambda text: b"[" * 100_000,
-    "too large": lambda text: b'{"revision":50,"complete":true,"members":["' + bytes(5 * 2**20),
+MALFORMATIONS: dict[str, Callable[[bytes], bytes]] = {
+    "truncated": lambda document: document[: len(document) // 2],
+    "garbled": lambda document: document[:-30] + b"\x00\xff" + document[-28:],
+    "not a list": lambda document: b'{"revision":50,"complete":true,"members":{"id":"s-1"}}\n',
+    "number out of range": lambda document: document.replace(b'"cell":0', b'"cell":1e400'),
+    "unclosed nesting": lambda document: b"[" * 100_000,
+    "too large": lambda document: b'{"revision":50,"complete":true,"members":["' + bytes(5 * 2**20),
 }
 
 
-@pytest.mark.parametrize("spoilt", list(SPOILT))
+@pytest.mark.parametrize("malformation", list(MALFORMATIONS))
 @async_test
-async def test_a_list_of_no_use_leaves_the_last_one_in_force(tmp_path: Path, spoilt: str) -> None:
-    """One plain line respond_with so, and the watch begins anew."""
+async def test_malformed_list_leaves_the_last_one_in_force(tmp_path: Path, malformation: str) -> None:
+    """It is logged in one plain line, and the watch is opened again."""
 
     async def script(request: Message, writer: asyncio.StreamWriter) -> None:
         if len(discovery.requests) != 2:
-            writer.write(HEAD + chunk(list_document(42, host.list_entry())))
+            writer.write(WATCH_HEAD + chunk(list_document(42, endpoint.list_entry())))
             if len(discovery.requests) == 1:
                 reset_soon(writer)
             return
-        writer.write(HEAD + chunk(SPOILT[spoilt](list_document(50, *entries(host, 20)))) + b"0\r\n\r\n")
+        document = list_document(50, *many_entries(endpoint, 20))
+        writer.write(WATCH_HEAD + chunk(MALFORMATIONS[malformation](document)) + b"0\r\n\r\n")
 
     def reset_soon(writer: asyncio.StreamWriter) -> None:
         asyncio.get_running_loop().call_later(0.1, abort_with_reset, writer)
 
     async with (
-        start_peers(respond_with(), script) as (host, discovery),
+        start_peers(respond_with(), script) as (endpoint, discovery),
         running_service(tmp_path, config_document(discovery.port)) as process,
     ):
         port = await listening_port(process)
-        log = asyncio.create_task(_log(process))
+        log = asyncio.create_task(remaining_log(process))
         await wait_until(lambda: len(discovery.requests) > 2)
         client = await LoopbackClient.connect(port)
         assert (await client.request()).status == 200
@@ -210,7 +200,7 @@
         process.send_signal(signal.SIGTERM)
         text = await log
         assert "Traceback" not in text
-        assert sum("asking again" in line for line in text.splitlines()) <= 3
+        assert sum(" discovery " in line for line in text.splitlines()) <= 3
 
 
 @pytest.mark.parametrize(
@@ -218,34 +208,34 @@
     [
         orjson.dumps(config_document(1))[:-40],
         b"[" * 100_000,
-        orjson.dumps(config_document(1, settings=SETUP | {"balancers": 3})).replace(
+        orjson.dumps(config_document(1, settings=SETTINGS_DOCUMENT | {"balancers": 3})).replace(
             b'"balancers":3', b'"balancers":1e400'
         ),
-        orjson.dumps(config_document(1)) + b" " * config.MAX_FILE,
+        orjson.dumps(config_document(1)) + b" " * config.MAX_FILE_BYTES,
     ],
-    ids=["cut short", "nested without end", "a number beyond all", "too large"],
+    ids=["truncated", "unclosed nesting", "number out of range", "too large"],
 )
 @async_test
-async def test_a_file_of_no_use_leaves_what_is_in_force(tmp_path: Path, file: bytes) -> None:
-    """At the start it is one plain line and exit 2, on SIGHUP one plain line."""
+async def test_malformed_file_leaves_the_configuration_in_force(tmp_path: Path, file: bytes) -> None:
+    """At the start it is one plain line and exit code 2, on SIGHUP one plain line."""
     async with running_service(tmp_path, file) as process:
         _, errors = await process.communicate()
         assert process.returncode == 2
         assert errors.startswith(b"http_gateway: ")
         assert errors.count(b"\n") == 1
 
-    async def watch(request: Message, writer: asyncio.StreamWriter) -> None:
-        writer.write(HEAD + chunk(list_document(42, host.list_entry())))
+    async def send_list(request: Message, writer: asyncio.StreamWriter) -> None:
+        writer.write(WATCH_HEAD + chunk(list_document(42, endpoint.list_entry())))
 
     async with (
-        start_peers(respond_with(), watch) as (host, discovery),
+        start_peers(respond_with(), send_list) as (endpoint, discovery),
         running_service(tmp_path, config_document(discovery.port)) as process,
     ):
         port = await listening_port(process)
         write_config(tmp_path, file)
         process.send_signal(signal.SIGHUP)
-        await next_log_line(process, "ERROR reload: ")
-        log = asyncio.create_task(_log(process))
+        await next_log_line(process, "ERROR reload failed reason=")
+        log = asyncio.create_task(remaining_log(process))
         client = await LoopbackClient.connect(port)
         client.writer.write(request_bytes())
         assert (await client.response()).status == 200
@@ -254,9 +244,9 @@
         assert "Traceback" not in await log
 
 
-def test_lists_of_more_than_a_thousand_hosts_fit() -> None:
-    """With addresses and names as long as they come: a quarter of the limit at most."""
+def test_lists_of_more_than_a_thousand_endpoints_fit() -> None:
+    """With the longest addresses and names they take a quarter of the limits at most."""
     peer = LoopbackPeer(never_respond, port=65535)
     entry = peer.list_entry(id="s-" + "0" * 60, locality="z" * 60, machine_type="f" * 60)
-    assert 4 * len(list_document(1, *[entry] * MANY)) < 2 * json_stream.MAX_DOCUMENT_BYTES
-    assert len(list_document(1, *[entry] * MANY)) < config.MAX_FILE / 4
+    assert 4 * len(list_document(1, *[entry] * LARGE_COUNT)) < 2 * json_stream.MAX_DOCUMENT_BYTES
+    assert len(list_document(1, *[entry] * LARGE_COUNT)) < config.MAX_FILE_BYTES / 4
--- /dev/null
+++ b/tests/support/discovery.py
@@ -0,0 +1,78 @@
+"""Scripted discovery services, and a discovery client that watches them."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import AsyncIterator
+from contextlib import asynccontextmanager
+from dataclasses import replace
+
+import orjson
+
+from http_gateway.net.discovery.client import DiscoveryClient
+from http_gateway.net.discovery.endpoint_list import EndpointList
+from http_gateway.net.http.messages import Message
+from http_gateway.policy.settings import Settings
+from http_gateway.policy.time_units import US_PER_MS
+from tests.support.loopback import SETTINGS, LoopbackPeer
+
+WATCH_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+REJECTION = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
+PUSHED_SETTINGS = replace(SETTINGS, gateway_count=200, drain_grace_us=250 * US_PER_MS)
+
+
+def polled_settings(gateway_count: int, gateway_index: int = 0) -> Settings:
+    """Settings where one discovery service answers all gateways."""
+    return replace(
+        SETTINGS, gateway_count=gateway_count, gateway_index=gateway_index, discovery_is_polled=True
+    )
+
+
+def chunk(content: bytes) -> bytes:
+    """Encode one chunk of a chunked response."""
+    return b"%x\r\n%s\r\n" % (len(content), content)
+
+
+def list_document(revision: int, *members: dict[str, object], complete: bool = True) -> bytes:
+    """Encode an endpoint list as discovery sends it."""
+    return orjson.dumps({"revision": revision, "complete": complete, "members": members}) + b"\n"
+
+
+async def send(writer: asyncio.StreamWriter, content: bytes) -> None:
+    """Send bytes and give the reader a turn of the loop."""
+    writer.write(content)
+    await writer.drain()
+    await asyncio.sleep(0)
+
+
+async def accept_watch(request: Message, writer: asyncio.StreamWriter) -> None:
+    """A script that accepts a watch and sends no list."""
+    writer.write(WATCH_HEAD)
+
+
+async def accept_watch_without_changes(request: Message, writer: asyncio.StreamWriter) -> None:
+    """A script of an agent that responds at once and knows of no change."""
+    writer.write(WATCH_HEAD + chunk(list_document(41, complete=False)))
+
+
+@asynccontextmanager
+async def running_client(
+    service: LoopbackPeer, revision: int = 0, settings: Settings = SETTINGS
+) -> AsyncIterator[tuple[DiscoveryClient, list[EndpointList]]]:
+    """A started client, and the lists that it receives from a service."""
+    lists: list[EndpointList] = []
+    client = DiscoveryClient(("127.0.0.1", service.port), revision, lists.append, settings)
+    client.start()
+    try:
+        yield client, lists
+    finally:
+        client.stop()
+
+
+@asynccontextmanager
+async def received_lists(
+    service: LoopbackPeer, revision: int = 0, settings: Settings = SETTINGS
+) -> AsyncIterator[list[EndpointList]]:
+    """The lists that a started client receives from a service."""
+    async with running_client(service, revision, settings) as (_, lists):
+        yield lists
--- /dev/null
+++ b/tests/unit/test_log_rate_limit.py
@@ -0,0 +1,35 @@
+"""The limit on the rate of log lines."""
+
+from __future__ import annotations
+
+import logging
+
+from http_gateway.net.log_rate_limit import MIN_INTERVAL_S, LogRateLimiter
+
+
+def record_at(created_s: float, message: str, *arguments: object) -> logging.LogRecord:
+    """A log record of a moment."""
+    record = logging.LogRecord("test", logging.INFO, __file__, 1, message, arguments, None)
+    record.created = created_s
+    return record
+
+
+def test_one_line_per_text_and_interval_passes() -> None:
+    limiter = LogRateLimiter()
+    assert limiter.filter(record_at(100.0, "connect failed port=%d", 1))
+    assert not limiter.filter(record_at(100.1, "connect failed port=%d", 2))
+    assert limiter.filter(record_at(100.1, "shutdown started"))
+    assert limiter.filter(record_at(100.0 + MIN_INTERVAL_S, "connect failed port=%d", 3))
+
+
+def test_next_line_counts_the_suppressed_ones() -> None:
+    limiter = LogRateLimiter()
+    limiter.filter(record_at(100.0, "connect failed port=%d", 1))
+    for _ in range(2):
+        limiter.filter(record_at(100.5, "connect failed port=%d", 2))
+    record = record_at(101.0, "connect failed port=%d", 3)
+    assert limiter.filter(record)
+    assert record.getMessage() == "connect failed port=3 suppressed_lines=2"
+    later = record_at(102.0, "connect failed port=%d", 4)
+    assert limiter.filter(later)
+    assert later.getMessage() == "connect failed port=4"
