--- a/http_gateway/net/in_flight_request.py
+++ b/http_gateway/net/dispatched_request.py
@@ -14,7 +14,7 @@
 
 @dataclass(slots=True)
 class DispatchedAttempt:
-    """An attempt that the policy has requested; its number is its place in `InFlightRequest.attempts`."""
+    """An attempt that the policy has requested; its number is its place in `DispatchedRequest.attempts`."""
 
     endpoint_id: EndpointId
     started_at_us: int
@@ -31,7 +31,7 @@
         self.upstream_attempt = None
 
 
-class InFlightRequest:
+class DispatchedRequest:
     """A request that needs its response, or has attempts in flight."""
 
     def __init__(
--- a/http_gateway/net/frontend/client_connection.py
+++ b/http_gateway/net/frontend/client_connection.py
@@ -7,6 +7,7 @@
 from dataclasses import dataclass
 from http import HTTPStatus
 
+from http_gateway.net.client_request import Response
 from http_gateway.net.frontend.client_transport import ClientTransport
 from http_gateway.net.frontend.connection_limits import BufferLimit, ConnectionLimits
 from http_gateway.net.frontend.in_flight_request import InFlightRequest, OpenRequestIds
@@ -16,7 +17,7 @@
 from http_gateway.net.http.messages import Message
 from http_gateway.net.http.shared_buffer import SharedBufferProtocol
 from http_gateway.net.http.writer import write_response
-from http_gateway.net.request_dispatcher import RequestDispatcher, Response
+from http_gateway.net.request_dispatcher import RequestDispatcher
 
 log = logging.getLogger(__name__)
 
--- a/http_gateway/net/frontend/in_flight_request.py
+++ b/http_gateway/net/frontend/in_flight_request.py
@@ -5,8 +5,9 @@
 from collections.abc import Callable
 from http import HTTPStatus
 
+from http_gateway.net.client_request import ClientRequest, Response
 from http_gateway.net.frontend.request_parsing import InvalidRequestError
-from http_gateway.net.request_dispatcher import ClientRequest, RequestDispatcher, Response
+from http_gateway.net.request_dispatcher import RequestDispatcher
 from http_gateway.policy.events import RequestId
 
 
--- a/http_gateway/net/frontend/listener.py
+++ b/http_gateway/net/frontend/listener.py
@@ -63,11 +63,6 @@
         """Whether the shutdown has begun."""
         return self._state.shutdown.has_begun
 
-    @property
-    def shutdown_deadline_at_s(self) -> float:
-        """The loop time by which every request has to be answered; infinity before the shutdown."""
-        return self._state.shutdown.deadline_at_s
-
     @staticmethod
     def bind(host: str, port: int) -> socket.socket:
         """Reserve an address; the system rejects connections until `listen` is called. Raises OSError."""
--- a/http_gateway/net/frontend/request_parsing.py
+++ b/http_gateway/net/frontend/request_parsing.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable, Iterable, Mapping
 from http import HTTPStatus
 
+from http_gateway.net.client_request import ClientRequest
 from http_gateway.net.http.messages import MalformedMessageError, Message
-from http_gateway.net.request_dispatcher import ClientRequest
 from http_gateway.policy.settings import Idempotency, RequestClass
 from http_gateway.policy.time_units import US_PER_S
 
--- a/http_gateway/net/request_dispatcher.py
+++ b/http_gateway/net/request_dispatcher.py
@@ -13,8 +13,8 @@
 from http_gateway.net.client_request import ClientRequest, Response, ResponseCallback
 from http_gateway.net.clock import Clock
 from http_gateway.net.discovery.endpoint_list import EndpointList
+from http_gateway.net.dispatched_request import DispatchedRequest, time_out
 from http_gateway.net.http.messages import Message
-from http_gateway.net.in_flight_request import InFlightRequest, time_out
 from http_gateway.net.upstream.attempt import UpstreamAttempt
 from http_gateway.net.upstream.pool import UpstreamPool
 from http_gateway.policy.actions import (
@@ -39,8 +39,6 @@
 )
 from http_gateway.policy.time_units import US_PER_S
 
-__all__ = ["RESPONSE_MARGIN_US", "ClientRequest", "RequestDispatcher", "Response"]
-
 log = logging.getLogger(__name__)
 
 # Microseconds before the client's own limit by which its response is due: the limit includes the network in
@@ -56,7 +54,7 @@
         self._pool = pool
         self._clock = Clock()
         self._loop = asyncio.get_running_loop()
-        self._requests: dict[RequestId, InFlightRequest] = {}
+        self._requests: dict[RequestId, DispatchedRequest] = {}
         self._submitted_count = 0
         self._events: deque[Event] = deque()
         self._is_handling_events = False
@@ -104,7 +102,7 @@
         request_id = self._submitted_count
         timeout_us = max(1, client_request.timeout_us - RESPONSE_MARGIN_US)
         deadline_at_us = self._clock.now_us() + timeout_us
-        request = InFlightRequest(client_request, respond, has_client_disconnected, deadline_at_us)
+        request = DispatchedRequest(client_request, respond, has_client_disconnected, deadline_at_us)
         self._requests[request_id] = request
         self._start_deadline_timer(request_id, request, timeout_us)
         self._feed(_arrival(request_id, client_request, timeout_us))
@@ -175,7 +173,7 @@
                 self._loop.call_later((expires_at_us - now_us) / US_PER_S, time_out, upstream_attempt)
 
     def _start_upstream_attempt(
-        self, action: StartAttempt, request: InFlightRequest, number: int, expires_at_us: int, now_us: int
+        self, action: StartAttempt, request: DispatchedRequest, number: int, expires_at_us: int, now_us: int
     ) -> UpstreamAttempt | None:
         expires_at_s = self._loop.time() + (expires_at_us - now_us) / US_PER_S
         last_byte_before_s = math.inf
@@ -240,7 +238,7 @@
             del self._requests[request_id]
 
     def _start_deadline_timer(
-        self, request_id: RequestId, request: InFlightRequest, remaining_us: int
+        self, request_id: RequestId, request: DispatchedRequest, remaining_us: int
     ) -> None:
         timer = self._loop.call_later(remaining_us / US_PER_S, self._expire, request_id)
         request.set_deadline_timer(timer)
--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the gateway, its policy and the simulator adapter."""
--- a/tests/integration/__init__.py
+++ b/tests/integration/__init__.py
@@ -0,0 +1,1 @@
+"""Tests over loopback sockets and of the programs."""
--- a/tests/support/__init__.py
+++ b/tests/support/__init__.py
@@ -0,0 +1,1 @@
+"""Helpers that several test files use."""
--- a/tests/unit/__init__.py
+++ b/tests/unit/__init__.py
@@ -0,0 +1,1 @@
+"""Tests without sockets."""
--- a/tests/unit/net/test_request_parsing.py
+++ b/tests/unit/net/test_request_parsing.py
@@ -6,9 +6,9 @@
 
 import pytest
 
+from http_gateway.net.client_request import ClientRequest
 from http_gateway.net.frontend.request_parsing import InvalidRequestError, RequestParser
 from http_gateway.net.http.reader import RequestReader
-from http_gateway.net.request_dispatcher import ClientRequest
 from http_gateway.policy.time_units import US_PER_MS, US_PER_S
 from tests.support.loopback import READ, SETTINGS, request_bytes
 
