--- a/http_gateway/policy/balancer.py
+++ b/http_gateway/policy/balancer.py
@@ -47,7 +47,7 @@
 
 
 class Balancer:
-    """Takes one event and its time and returns the actions to carry out, in order.
+    """Takes one event and its time and returns the actions to execute, in order.
 
     It reads no clock and does no I/O: the same settings, seed and events give the same actions.
     """
@@ -69,7 +69,7 @@
         self._outliers = OutlierDetector(self._endpoints, self._latency)
 
     def handle(self, event: Event, now_us: int) -> list[Action]:
-        """Take one event; return the actions to carry out, in order."""
+        """Take one event; return the actions to execute, in order."""
         match event:
             case RequestArrived():
                 return self._on_request(event, now_us)
--- a/http_gateway/policy/circuit_breaker.py
+++ b/http_gateway/policy/circuit_breaker.py
@@ -87,7 +87,7 @@
     """The breaker of one request class at one endpoint, which may fail that class and serve all others.
 
     Successes of other classes do not reach it, and its own clear failures only one by one: after a good probe
-    the next failure opens it again, and the cooldown is reset once no failure is left. It covers any fault
+    the next failure opens it again, and the cooldown is reset once no failure remains. It covers any fault
     that follows the class of a request, wholly or in part. It does harm where a class fails the same way at
     every endpoint; the caller therefore limits how many of them are open at a time.
     """
@@ -108,7 +108,7 @@
             if self._uncredited_successes >= SUCCESSES_PER_FORGIVEN_FAILURE:
                 self._forgive_failure()
         elif is_probe or unanswered >= FAILURE_THRESHOLD:
-            # For the next time that it opens, unless no failure is left by then.
+            # For the next time that it opens, unless no failure remains by then.
             self._cooldown_us = min(2 * self._cooldown_us, self._max_cooldown_us)
             self._forgive_failure()
             self._close()
--- a/http_gateway/policy/endpoint_set.py
+++ b/http_gateway/policy/endpoint_set.py
@@ -58,7 +58,7 @@
         return None if tracked is None else tracked.endpoint
 
     def of_attempt(self, attempt: Attempt) -> TrackedEndpoint | None:
-        """The endpoint of an attempt; None if it has left or restarted since."""
+        """The endpoint of an attempt; None if it was removed or restarted since."""
         tracked = self._endpoints.get(attempt.endpoint.id)
         if tracked is None or tracked.endpoint.started_at_us != attempt.endpoint.started_at_us:
             return None
--- a/http_gateway/policy/load_shedding.py
+++ b/http_gateway/policy/load_shedding.py
@@ -9,10 +9,10 @@
 from http_gateway.policy.settings import RequestClass
 from http_gateway.policy.time_units import US_PER_S
 
-SHED_TIME_CONSTANT_US = US_PER_S // 2  # late responses for this long leave about a third of what is admitted
-MAX_SIGNAL_AGE_US = (
-    US_PER_S // 4
-)  # a signal stands for the time since the last one, but for no more than this
+# Late responses for this long reduce what is admitted to about a third.
+SHED_TIME_CONSTANT_US = US_PER_S // 2
+# A signal stands for the time since the last one, but for no more than this.
+MAX_SIGNAL_AGE_US = US_PER_S // 4
 
 
 class TrafficClass(NamedTuple):
--- a/http_gateway/policy/retry_policy.py
+++ b/http_gateway/policy/retry_policy.py
@@ -31,8 +31,8 @@
     """Whether an endpoint drops the repeat if the request was executed before.
 
     It has to share the deduplication scope of every endpoint that possibly executed the request, both as that
-    one was when the attempt started and as it is `listed` now: one that has moved may have left its memory of
-    the key on either side.
+    one was when the attempt started and as it is `listed` now: one that has moved may have its record of the
+    key in either scope.
     """
     request_class = pending.request_class
     if request_class.idempotency is not Idempotency.IDEMPOTENCY_KEY:
--- a/http_gateway/policy/throughput_estimate.py
+++ b/http_gateway/policy/throughput_estimate.py
@@ -7,7 +7,7 @@
 from http_gateway.policy.time_units import US_PER_S
 
 RATE_WINDOW_US = 2 * US_PER_S  # while any endpoint of the type is warm
-# Once none is left. As the warm ones are removed one by one, the last ones serve few gateways, and what
+# Once none remains. As the warm ones are removed one by one, the last ones serve few gateways, and what
 # those see of them is far from the mean.
 LONG_RATE_WINDOW_US = 10 * US_PER_S
 
@@ -50,7 +50,7 @@
         """Count the work of a response from a warm endpoint.
 
         It is divided by the capacity that is warm now: divided later, it would count as more for each
-        endpoint that is left.
+        endpoint that remains.
         """
         if self._warm_capacity > 0:
             self._recent.add(cost / self._warm_capacity, now_us)
--- a/http_gateway/policy/tracked_endpoint.py
+++ b/http_gateway/policy/tracked_endpoint.py
@@ -59,7 +59,7 @@
         )
 
     def record_response(self, request_class: RequestClass, attempt: Attempt, now_us: int) -> None:
-        """Tell the breakers of a response; after a verdict only that its class is answered counts."""
+        """Record a response at the breakers; after a verdict only that its class is answered counts."""
         if not attempt.is_judged:
             self.breaker.record_success(attempt.is_probe)
         is_class_probe = attempt.is_class_probe and not attempt.is_judged
--- a/http_gateway/policy/zone_weights.py
+++ b/http_gateway/policy/zone_weights.py
@@ -11,7 +11,7 @@
     """The part of this gateway's work that is meant for each unit of capacity, by zone.
 
     Where crossing zones has a cost, work stays in its zone as far as the zone has its part of the fleet's
-    capacity, and the rest goes where there is more than that. All zones are taken to have the same traffic.
+    capacity, and the remainder goes to zones with more. All zones are taken to have the same traffic.
     With few gateways that is rough, since one zone may have one more of them, so a part of the work that
     shrinks with their number goes to all zones alike.
     """
