--- a/http_gateway/net/config.py
+++ b/http_gateway/net/config.py
@@ -6,7 +6,6 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 from hashlib import blake2b
-from pathlib import Path
 from typing import Any
 
 import orjson
@@ -68,7 +67,7 @@
     path = environment.get("PROXY_CONFIG")
     if not path:
         raise ConfigError("PROXY_CONFIG names no file")
-    document = _read_document(Path(path))
+    document = _read_document(path)
     overrides = {field: environment[name] for field, name in variables.items() if environment.get(name)}
     try:
         return _read_config(JsonFields({**document, **overrides}))
@@ -76,7 +75,7 @@
         raise ConfigError(f"invalid configuration: {error}") from None
 
 
-def _read_document(path: Path) -> dict[str, Any]:
+def _read_document(path: str) -> dict[str, Any]:
     try:
         document = orjson.loads(_read_file(path))
     except OSError as error:
@@ -88,8 +87,8 @@
     return document
 
 
-def _read_file(path: Path) -> bytes:
-    with path.open("rb") as file:
+def _read_file(path: str) -> bytes:
+    with open(path, "rb") as file:
         content = file.read(MAX_FILE_BYTES + 1)
     if len(content) > MAX_FILE_BYTES:
         raise ConfigError(f"PROXY_CONFIG exceeds {MAX_FILE_BYTES} bytes")
--- a/http_gateway/net/upstream/attempt.py
+++ b/http_gateway/net/upstream/attempt.py
@@ -33,7 +33,8 @@
 class UpstreamAttempt:
     """One attempt to have an endpoint serve a request; it ends exactly once.
 
-    It owns the task that connects for it and the timer that limits its last byte: its end cancels both.
+    It owns the task that connects for it and the timer that limits its last byte. `stop` cancels the
+    task, and every end cancels the timer.
     """
 
     def __init__(
