--- a/tests/integration/test_retry_deadlines.py
+++ b/tests/integration/test_retry_deadlines.py
@@ -134,6 +134,7 @@
         await wait_until(lambda: other.requests)
         (request,) = gateway.dispatcher._requests.values()
         await wait_until(lambda: request.attempts[0].has_ended)
+        assert gateway.dispatcher.unanswered_count == 1  # at the end of the window, before the deadline
         connects.allow.set()
         await wait_until(lambda: not gateway.pool.connecting_count)
         await wait_until(lambda: first.closed == first.connections)
