--- a/http_gateway/net/client_request.py
+++ b/http_gateway/net/client_request.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from dataclasses import dataclass, field
-from typing import Protocol
+from typing import NamedTuple, Protocol
 
 from http_gateway.net.http.messages import Headers, Message
 
@@ -24,8 +24,7 @@
         """Send the response to the client."""
 
 
-@dataclass(frozen=True, slots=True)
-class ClientRequest:
+class ClientRequest(NamedTuple):
     """A client's request: the message for the endpoint, and what the policy knows of it."""
 
     message: Message
--- a/http_gateway/net/frontend/client_connection.py
+++ b/http_gateway/net/frontend/client_connection.py
@@ -4,8 +4,8 @@
 
 import asyncio
 import logging
-from dataclasses import dataclass
 from http import HTTPStatus
+from typing import NamedTuple
 
 from http_gateway.net.client_request import Response
 from http_gateway.net.frontend.client_transport import ClientTransport
@@ -24,8 +24,7 @@
 _CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 
-@dataclass(frozen=True, slots=True)
-class FrontendState:
+class FrontendState(NamedTuple):
     """What all client connections share."""
 
     dispatcher: RequestDispatcher
--- a/http_gateway/policy/concurrency_limit.py
+++ b/http_gateway/policy/concurrency_limit.py
@@ -2,20 +2,20 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
-
 INITIAL_LIMIT = 8.0
 MIN_LIMIT = 1.0
 DECREASE_FACTOR = 0.7
 
 
-@dataclass(slots=True)
 class ConcurrencyLimit:
     """Attempts in flight at an endpoint and how many there may be."""
 
-    in_flight: int = 0
-    limit: float = INITIAL_LIMIT
-    decreased_at_us: int = 0
+    __slots__ = ("decreased_at_us", "in_flight", "limit")
+
+    def __init__(self, in_flight: int = 0, limit: float = INITIAL_LIMIT) -> None:
+        self.in_flight = in_flight
+        self.limit = limit
+        self.decreased_at_us = 0
 
     @property
     def has_capacity(self) -> bool:
--- a/http_gateway/policy/load_score.py
+++ b/http_gateway/policy/load_score.py
@@ -2,8 +2,6 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
-
 from http_gateway.policy.time_units import US_PER_S
 
 LATENCY_RATIO_WINDOW_US = US_PER_S // 2  # a latency ratio that is not observed again is forgotten within this
@@ -12,15 +10,17 @@
 FAILURE_WINDOW_PER_GATEWAY_US = US_PER_S // 4
 
 
-@dataclass(slots=True)
 class LoadScore:
     """Attempts in flight, weighted by latency; recent failures count as attempts in flight that fade away."""
 
-    failure_window_us: int
-    latency_ratio: float = 1.0  # latency as a multiple of the estimate over all endpoints
-    latency_ratio_at_us: int = 0
-    failures: float = 0.0  # as of `failed_at_us`
-    failed_at_us: int = 0
+    __slots__ = ("failed_at_us", "failure_window_us", "failures", "latency_ratio", "latency_ratio_at_us")
+
+    def __init__(self, failure_window_us: int) -> None:
+        self.failure_window_us = failure_window_us
+        self.latency_ratio = 1.0  # latency as a multiple of the estimate over all endpoints
+        self.latency_ratio_at_us = 0
+        self.failures = 0.0  # as of `failed_at_us`
+        self.failed_at_us = 0
 
     def score(self, in_flight: int, now_us: int) -> float:
         """The present load; the endpoint with the lower score is tried first."""
--- a/http_gateway/policy/tenant_quota.py
+++ b/http_gateway/policy/tenant_quota.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 from collections.abc import Mapping
-from dataclasses import dataclass
 
 from http_gateway.policy.events import RequestArrived
 from http_gateway.policy.time_units import US_PER_S
@@ -11,10 +10,12 @@
 BURST_S = 5  # seconds of its quota that a tenant may save up
 
 
-@dataclass(slots=True)
 class _QuotaBucket:
-    tokens: float  # requests
-    refilled_at_us: int = 0
+    __slots__ = ("refilled_at_us", "tokens")
+
+    def __init__(self, tokens: float) -> None:
+        self.tokens = tokens  # requests
+        self.refilled_at_us = 0
 
 
 class TenantQuotas:
