--- a/http_gateway/policy/actions.py
+++ b/http_gateway/policy/actions.py
@@ -1,4 +1,4 @@
-"""Actions that the policy returns for its caller to carry out. Times are whole microseconds."""
+"""Actions that the policy returns for its caller to execute. Times are whole microseconds."""
 
 from __future__ import annotations
 
--- a/http_gateway/policy/settings.py
+++ b/http_gateway/policy/settings.py
@@ -73,7 +73,7 @@
     hedging_allowed: bool = False  # a second attempt may start while the first is in flight
     cancellation_allowed: bool = False
     health_checks_allowed: bool = False
-    retry_after_allowed: bool = False  # shed requests may carry Retry-After
+    retry_after_allowed: bool = False  # shed responses may have Retry-After
     max_retry_after_us: int = 0
     discovery_is_polled: bool = False  # discovery sends changes only when requested to
     drain_grace_us: int = 0  # attempts at a draining endpoint are tolerated for this long after notification
