--- a/tests/integration/test_client_races.py
+++ b/tests/integration/test_client_races.py
@@ -112,7 +112,7 @@
         running_gateway(endpoint.endpoint_entry()) as gateway,
     ):
         client = await gateway.connect()
-        client.writer.transport.pause_reading()  # type: ignore[attr-defined]
+        client.pause_reading()
         connection = await only_connection(gateway)
         await request_until(lambda: connection.is_writing_paused, client, connection)
         count = len(endpoint.requests)
@@ -120,7 +120,7 @@
         await wait_until(lambda: connection.requests)
         client.writer.write_eof()
         await wait_until(lambda: connection.transport.is_closing)
-        client.writer.transport.resume_reading()  # type: ignore[attr-defined]
+        client.resume_reading()
         await client.read_until_closed()
         await wait_until(lambda: not gateway.frontend.connections)
         assert len(endpoint.requests) == count
@@ -133,7 +133,7 @@
         running_gateway(endpoint.endpoint_entry()) as gateway,
     ):
         client = await gateway.connect()
-        client.writer.transport.pause_reading()  # type: ignore[attr-defined]
+        client.pause_reading()
         connection = await only_connection(gateway)
         connection.transport.stream.set_write_buffer_limits(high=2**30)
         await request_until(lambda: connection.unsent_bytes, client, connection)
@@ -154,7 +154,7 @@
         running_gateway(endpoint.endpoint_entry()) as gateway,
     ):
         client = await gateway.connect()
-        client.writer.transport.pause_reading()  # type: ignore[attr-defined]
+        client.pause_reading()
         connection = await only_connection(gateway)
         await request_until(lambda: connection.is_writing_paused, client, connection)
         client.writer.write_eof()
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -228,6 +228,19 @@
         async with asyncio.timeout(TEST_TIMEOUT_S):
             return await self._reader.read()
 
+    def pause_reading(self) -> None:
+        """Stop to read responses: they stay in the system's buffers."""
+        self._transport.pause_reading()
+
+    def resume_reading(self) -> None:
+        """Read responses again."""
+        self._transport.resume_reading()
+
+    @property
+    def _transport(self) -> asyncio.Transport:
+        assert isinstance(self.writer.transport, asyncio.Transport)
+        return self.writer.transport
+
     def close(self) -> None:
         """Disconnect at once."""
         self.writer.transport.abort()
