--- a/http_gateway/policy/balancer.py
+++ b/http_gateway/policy/balancer.py
@@ -137,7 +137,7 @@
         is_class_probe = tracked.class_breaker(pending.request_class).start_attempt()
         last_byte_before_us = retry_deadline_us(pending) or 0
         reserved_cost_us = self._slow_start.reserve(tracked, self._latency.cost_us(pending), now_us)
-        pending.attempts.append(
+        pending.add_attempt(
             Attempt(tracked.endpoint, now_us, is_probe, is_class_probe, reserved_cost_us=reserved_cost_us)
         )
         tracked.concurrency.start_attempt()
@@ -164,11 +164,11 @@
 
     def _complete(self, pending: PendingRequest) -> list[Action]:
         """Cancel what is in flight, as no answer is needed; forget the request once all has ended."""
-        was_answered, pending.is_answered = pending.is_answered, True
+        is_first_completion = pending.mark_answered()
         in_flight = pending.attempts_in_flight
         if not in_flight:
             del self._pending[pending.request.request_id]
-        if was_answered or not self._settings.cancellation_allowed:
+        if not is_first_completion or not self._settings.cancellation_allowed:
             return []
         request_id, attempts = pending.request.request_id, pending.attempts
         return [
@@ -181,7 +181,7 @@
         pending, attempt = self._find(event.request_id, event.attempt_number)
         if pending is None or attempt is None:
             return []
-        attempt.outcome = event.outcome
+        attempt.end(event.outcome)
         tracked = self._endpoints.of_attempt(attempt)
         if tracked is not None:
             tracked.concurrency.end_attempt()
@@ -198,7 +198,7 @@
         tracked = self._endpoints.of_attempt(attempt)
         if tracked is not None:
             tracked.record_response(pending.request_class, attempt, now_us)
-        attempt.is_judged = attempt.is_streaming = True
+        attempt.mark_streaming()
         return self._complete(pending)
 
     def _on_timer(self, token: str, now_us: int) -> list[Action]:
--- a/http_gateway/policy/endpoint_selection.py
+++ b/http_gateway/policy/endpoint_selection.py
@@ -57,7 +57,7 @@
                 if len(drawn) == CHOICES:
                     break
         drawn.sort(key=lambda tracked: tracked.load_score(now_us))
-        pending.fallback_id = drawn[1].id if len(drawn) > 1 else None
+        pending.set_fallback(drawn[1].id if len(drawn) > 1 else None)
         return drawn[0] if drawn else None
 
     def _candidates(self, key: str | None) -> Iterator[TrackedEndpoint]:
--- a/http_gateway/policy/endpoint_set.py
+++ b/http_gateway/policy/endpoint_set.py
@@ -95,7 +95,7 @@
                 endpoint, self._random, bucket, self._settings.gateway_count
             )
         else:
-            known.endpoint = endpoint
+            known.update(endpoint)
 
     def _update_shares(self, now_us: int) -> None:
         capacity_fractions = {
--- a/http_gateway/policy/pending_request.py
+++ b/http_gateway/policy/pending_request.py
@@ -32,6 +32,18 @@
         """Whether the endpoint may have executed the request, or may yet do so."""
         return self.outcome is None or not self.outcome.proves_not_executed
 
+    def end(self, outcome: Outcome) -> None:
+        """Record how it ended."""
+        self.outcome = outcome
+
+    def mark_judged(self) -> None:
+        """Record that its endpoint has been charged with it, or credited."""
+        self.is_judged = True
+
+    def mark_streaming(self) -> None:
+        """Record that its response has begun: it is judged by that, and belongs to the client."""
+        self.is_judged = self.is_streaming = True
+
 
 @dataclass(slots=True)
 class PendingRequest:
@@ -45,6 +57,20 @@
     attempts: list[Attempt] = field(default_factory=list)
     is_answered: bool = False
 
+    def add_attempt(self, attempt: Attempt) -> None:
+        """Record an attempt that starts; its number is its place among all."""
+        self.attempts.append(attempt)
+
+    def set_fallback(self, endpoint_id: EndpointId | None) -> None:
+        """Record the endpoint that was chosen second; None if there was no other."""
+        self.fallback_id = endpoint_id
+
+    def mark_answered(self) -> bool:
+        """Record that no answer is needed any more; return whether that is new."""
+        is_new = not self.is_answered
+        self.is_answered = True
+        return is_new
+
     @property
     def attempts_in_flight(self) -> list[int]:
         """The numbers of the attempts that have not ended."""
--- a/http_gateway/policy/tracked_endpoint.py
+++ b/http_gateway/policy/tracked_endpoint.py
@@ -39,6 +39,10 @@
         """The endpoint's id."""
         return self.endpoint.id
 
+    def update(self, endpoint: Endpoint) -> None:
+        """Follow a change of the list that is not a restart."""
+        self.endpoint = endpoint
+
     def load_score(self, now_us: int) -> float:
         """The present load; of two endpoints the one with the lower score is tried first."""
         return self.load.score(self.concurrency.in_flight, now_us)
