--- a/http_gateway/policy/__init__.py
+++ b/http_gateway/policy/__init__.py
@@ -1,6 +1,7 @@
-"""The load-balancing policy: events and their time in, actions out.
+"""The load-balancing policy, which takes events and returns the actions to execute.
 
-Modules of this package are pure. They read no clock, do no I/O, start no task and share nothing between
-instances: the same settings, seed and events give the same actions. Times are whole microseconds, marked by
-the suffix `_us`; moments are readings of the caller's clock, which never runs backwards.
+The modules of this package are pure: they read no clock, do no I/O, start no tasks and share no state
+between instances. The same settings, seed and events therefore always give the same actions. All times are
+whole microseconds, marked by the suffix `_us`. Points in time are readings of the caller's clock, which must
+never run backwards.
 """
--- a/http_gateway/policy/actions.py
+++ b/http_gateway/policy/actions.py
@@ -1,4 +1,4 @@
-"""Actions that the policy returns for its caller to execute. Times are whole microseconds."""
+"""Actions that the policy returns and its caller executes. Times are whole microseconds."""
 
 from __future__ import annotations
 
@@ -9,32 +9,35 @@
 
 
 class StartAttempt(NamedTuple):
-    """Forward a request to an endpoint; attempts of a request are numbered from 0 in this order."""
+    """Send a request to an endpoint.
+
+    The attempts of a request are numbered from 0, in the order of these actions.
+    """
 
     request_id: RequestId
     endpoint_id: EndpointId
-    expires_at_us: int = 0  # moment at which to time the attempt out; 0: when the client gives up
-    # Moment before which the last byte of a retry has to be written, and that of any earlier attempt of its
-    # request that is not fully written yet; 0: no limit.
+    expires_at_us: int = 0  # time at which the attempt times out; 0: the client's deadline
+    # The last byte of a retry has to be written before this time. The same limit then applies to every
+    # earlier attempt of the request that is not completely written. 0: no limit.
     last_byte_before_us: int = 0
 
 
 class CancelAttempt(NamedTuple):
-    """Stop waiting for an attempt."""
+    """Stop waiting for the response to an attempt."""
 
     request_id: RequestId
     attempt_number: int
 
 
 class ShedRequest(NamedTuple):
-    """Final answer: rejected by the gateway; a retry does no harm."""
+    """Reject a request as its final answer; the client can retry it safely."""
 
     request_id: RequestId
-    retry_after_us: int = 0  # 0: no advice
+    retry_after_us: int = 0  # delay that the client should wait before a retry; 0: not stated
 
 
 class FailRequest(NamedTuple):
-    """Final answer: failed, with no promise whether it was executed."""
+    """Report failure as the final answer to a request, which was possibly executed."""
 
     request_id: RequestId
 
@@ -46,14 +49,14 @@
 
 
 class SetTimer(NamedTuple):
-    """Deliver a `TimerFired` with this token after a delay."""
+    """Send a `TimerFired` event with this token to the policy after a delay."""
 
     delay_us: int
     token: str
 
 
 class WatchEndpointList(NamedTuple):
-    """Request changes of the endpoint list from discovery from now on."""
+    """Ask discovery to send all further changes of the endpoint list."""
 
 
 Action = StartAttempt | CancelAttempt | ShedRequest | FailRequest | CheckHealth | SetTimer | WatchEndpointList
--- a/http_gateway/policy/events.py
+++ b/http_gateway/policy/events.py
@@ -1,4 +1,4 @@
-"""Events that the caller feeds to the policy. Times are whole microseconds."""
+"""Events that the caller passes to the policy. Times are whole microseconds."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
     """How an attempt or a health check ended."""
 
     OK = "ok"
-    ERROR = "error"  # the endpoint answered with an error
-    REJECTED = "rejected"  # by the endpoint, unseen: its queue is full, or it is draining
+    ERROR = "error"  # the endpoint answered with an error response
+    REJECTED = "rejected"  # the endpoint refused it unexecuted: its queue is full, or it is draining
     TIMEOUT = "timeout"
     CONNECT_FAILED = "connect failed"
     RESET = "reset"  # the connection broke while the attempt was in flight
-    CANCELLED = "cancelled"  # by the gateway
+    CANCELLED = "cancelled"  # the gateway stopped waiting for it
     NOT_SENT = "not sent"
-    UNKNOWN = "unknown"  # anything else; possibly executed
+    UNKNOWN = "unknown"  # any other result; the request was possibly executed
 
     @property
     def proves_not_executed(self) -> bool:
-        """Whether the endpoint is known to have done nothing."""
+        """Whether the endpoint is known not to have executed the request."""
         return self in _NOT_EXECUTED
 
 
@@ -33,35 +33,39 @@
 
 
 class ListUpdateKind(Enum):
-    """What an `EndpointListUpdate` contains."""
+    """Which endpoints an `EndpointListUpdate` contains."""
 
-    COMPLETE = "complete"  # every endpoint there is
-    CACHED = "cached"  # every endpoint this gateway knew before it restarted
-    DELTA = "delta"  # changed endpoints only
-    FAILED = "failed"  # nothing: a call to discovery failed, or a watch ended
+    COMPLETE = "complete"  # every endpoint that exists; endpoints not contained are removed
+    CACHED = "cached"  # every endpoint that the gateway knew before it restarted
+    DELTA = "delta"  # only the endpoints that have changed
+    FAILED = "failed"  # none: a call to discovery failed, or a watch ended
 
 
 class EndpointListUpdate(NamedTuple):
-    """Discovery has notified the gateway of endpoints."""
+    """Discovery has sent an endpoint list, or a call to it has failed."""
 
     kind: ListUpdateKind
     endpoints: tuple[Endpoint, ...] = ()
 
 
 class RequestArrived(NamedTuple):
-    """A client has sent a request, which needs exactly one final answer."""
+    """A client has sent a request, which must get exactly one final answer."""
 
     request_id: RequestId
     class_name: str
-    timeout_us: int  # the client waits no longer
-    cost_us: int = 0  # expected work, as processor time on a standard core; 0: not known
-    key: str | None = None
-    is_client_retry: bool = False  # where clients mark their retries
+    timeout_us: int  # how long the client waits for the final answer
+    cost_us: int = 0  # expected processor time on a standard core; 0 if unknown
+    key: str | None = None  # request key for key affinity; None if it has none
+    is_client_retry: bool = False  # marked as a retry by the client; False if clients do not mark retries
     tenant: str = ""
 
 
 class ResponseStreamStarted(NamedTuple):
-    """The response has begun to flow: from now on this attempt belongs to the client."""
+    """The gateway has started to stream the response of an attempt to the client.
+
+    That response is the final answer. The policy therefore cancels the other attempts of the request, if
+    cancellation is allowed, and never this one.
+    """
 
     request_id: RequestId
     attempt_number: int
@@ -70,19 +74,19 @@
 
 
 class AttemptEnded(NamedTuple):
-    """An attempt has ended; every `StartAttempt` gets exactly one."""
+    """An attempt has ended; each `StartAttempt` is followed by exactly one of these events."""
 
     request_id: RequestId
     attempt_number: int
     endpoint_id: EndpointId
     outcome: Outcome
     latency_us: int
-    request_completed: bool  # the client has its final answer
+    request_completed: bool  # the client has received its final answer
     load_report: dict[str, float] | None = None
 
 
 class RequestAbandoned(NamedTuple):
-    """The client has disconnected, or gets its answer elsewhere: none is needed any more."""
+    """A request needs no final answer: its client disconnected, or gets the answer in another way."""
 
     request_id: RequestId
 
@@ -97,7 +101,7 @@
 
 
 class TimerFired(NamedTuple):
-    """A timer set earlier is due."""
+    """A timer that the policy set with `SetTimer` is due."""
 
     token: str
 
--- a/http_gateway/policy/time_units.py
+++ b/http_gateway/policy/time_units.py
@@ -1,4 +1,4 @@
-"""Conversion factors for the policy's unit of time, the microsecond."""
+"""Conversion factors to microseconds, the time unit of the policy."""
 
 from __future__ import annotations
 
