--- a/http_gateway/policy/pending_request.py
+++ b/http_gateway/policy/pending_request.py
@@ -1,4 +1,4 @@
-"""Requests without a final answer, and the attempts made for them."""
+"""Requests that the policy still tracks, and their attempts."""
 
 from __future__ import annotations
 
@@ -13,80 +13,88 @@
 class Attempt:
     """One attempt of a request."""
 
-    endpoint: Endpoint  # as it was listed when the attempt started
+    endpoint: Endpoint  # its endpoint list entry at the start of the attempt
     started_at_us: int
-    is_probe: bool = False  # the half-open probe request of its endpoint's breaker
-    is_class_probe: bool = False  # likewise of the breaker for its class there
-    is_judged: bool = False  # its endpoint has been charged with it, or credited, while it was in flight
-    is_streaming: bool = False  # it belongs to the client since its response began
-    reserved_cost_us: float = 0.0  # taken for it out of the bucket of an endpoint that is warming up
-    outcome: Outcome | None = None  # None while it is in flight
+    is_probe: bool = False  # the half-open probe of the endpoint's circuit breaker
+    is_class_probe: bool = False  # the half-open probe of the endpoint's breaker for this request class
+    # Its success or failure was recorded for the endpoint while it was in flight, so its end is not.
+    is_judged: bool = False
+    is_streaming: bool = False  # its response is being streamed to the client, so it is not cancelled
+    reserved_cost_us: float = 0.0  # taken from the endpoint's slow start token bucket; 0 if it is warm
+    outcome: Outcome | None = None  # None while the attempt is in flight
 
     @property
     def in_flight(self) -> bool:
-        """Whether it has not ended."""
+        """Whether the attempt has not ended."""
         return self.outcome is None
 
     @property
     def possibly_executed(self) -> bool:
-        """Whether the endpoint may have executed the request, or may yet do so."""
+        """Whether the endpoint may have executed the request, or may still execute it."""
         return self.outcome is None or not self.outcome.proves_not_executed
 
     def end(self, outcome: Outcome) -> None:
-        """Record how it ended."""
+        """Record how the attempt ended."""
         self.outcome = outcome
 
     def mark_judged(self) -> None:
-        """Record that its endpoint has been charged with it, or credited."""
+        """Note that the success or failure of the attempt has been recorded for its endpoint."""
         self.is_judged = True
 
     def mark_streaming(self) -> None:
-        """Record that its response has begun: it is judged by that, and belongs to the client."""
+        """Note that the response is being streamed to the client.
+
+        The start of the stream counts as the success of the attempt, so its result has been recorded.
+        """
         self.is_judged = self.is_streaming = True
 
 
 @dataclass(slots=True)
 class PendingRequest:
-    """A request that needs a final answer, or has attempts in flight."""
+    """A request that needs a final answer or has attempts in flight."""
 
     request: RequestArrived
     request_class: RequestClass
     arrived_at_us: int
     deadline_us: int
-    fallback_id: EndpointId | None = None  # the endpoint that was chosen second
+    fallback_id: EndpointId | None = None  # the other endpoint of the latest load comparison
     attempts: list[Attempt] = field(default_factory=list)
-    is_answered: bool = False
+    is_answered: bool = False  # no final answer is needed any more
 
     def add_attempt(self, attempt: Attempt) -> None:
-        """Record an attempt that starts; its number is its place among all."""
+        """Add an attempt that starts; its number is its index in `attempts`."""
         self.attempts.append(attempt)
 
     def set_fallback(self, endpoint_id: EndpointId | None) -> None:
-        """Record the endpoint that was chosen second; None if there was no other."""
+        """Set the endpoint to prefer for the next attempt; None if no other endpoint was available."""
         self.fallback_id = endpoint_id
 
     def mark_answered(self) -> bool:
-        """Record that no answer is needed any more; return whether that is new."""
+        """Note that no final answer is needed any more.
+
+        Returns:
+            Whether this is the first call for the request.
+        """
         is_new = not self.is_answered
         self.is_answered = True
         return is_new
 
     @property
     def attempts_in_flight(self) -> list[int]:
-        """The numbers of the attempts that have not ended."""
+        """The numbers of the attempts in flight."""
         return [number for number, attempt in enumerate(self.attempts) if attempt.outcome is None]
 
     @property
     def has_attempt_in_flight(self) -> bool:
-        """Whether any attempt has not ended."""
+        """Whether any attempt is in flight."""
         return any(attempt.outcome is None for attempt in self.attempts)
 
     @property
     def possibly_executed_attempts(self) -> list[Attempt]:
-        """The attempts that were possibly executed, the earliest first."""
+        """The attempts that the endpoints have possibly executed, in starting order."""
         return [attempt for attempt in self.attempts if attempt.possibly_executed]
 
     @property
     def first_possibly_executed(self) -> Attempt | None:
-        """The earliest attempt that was possibly executed."""
+        """The earliest attempt that an endpoint has possibly executed, or None."""
         return next((attempt for attempt in self.attempts if attempt.possibly_executed), None)
