--- a/http_gateway/policy/retry_policy.py
+++ b/http_gateway/policy/retry_policy.py
@@ -1,4 +1,4 @@
-"""Whether, where and until when a request may be attempted again, and whether it may be shed."""
+"""The retry policy: when and where a request may be retried, and whether it may be shed."""
 
 from __future__ import annotations
 
@@ -9,11 +9,19 @@
 from http_gateway.policy.retry_budget import RetryBudget
 from http_gateway.policy.settings import DeduplicationScope, Idempotency, Settings
 
-ATTEMPTS_WITHOUT_BUDGET = 2  # the first one and its fallback
+ATTEMPTS_WITHOUT_BUDGET = 2  # the first one and one retry, if it is not hedged
 
 
 def retry_deadline_us(pending: PendingRequest) -> int | None:
-    """The moment before which the last byte of another attempt has to be written; None if there is none."""
+    """Return the time before which the last byte of another attempt has to be written.
+
+    With an idempotency key this is the end of the deduplication window, which begins at the start of the
+    earliest attempt that was possibly executed. A request that must be executed at most once must not be
+    retried after such an attempt, so its deadline is the start of that attempt.
+
+    Returns:
+        The deadline. None if the request is idempotent or was certainly not executed.
+    """
     request_class = pending.request_class
     if request_class.idempotency is Idempotency.IDEMPOTENT:
         return None
@@ -26,13 +34,19 @@
 
 
 def may_retry_on(
-    endpoint: Endpoint, pending: PendingRequest, listed: Callable[[EndpointId], Endpoint | None]
+    endpoint: Endpoint, pending: PendingRequest, find_listed: Callable[[EndpointId], Endpoint | None]
 ) -> bool:
-    """Whether an endpoint drops the repeat if the request was executed before.
+    """Return whether a retry at an endpoint cannot execute the request a second time.
+
+    An endpoint drops a repeated idempotency key if it shares the deduplication scope of the endpoint that
+    executed the request. The scope is checked for every endpoint that possibly executed it, once with the
+    list entry from the start of the attempt and once with the present one. If the endpoint has moved to
+    another zone or group since, its record of the key may be in either scope.
 
-    It has to share the deduplication scope of every endpoint that possibly executed the request, both as that
-    one was when the attempt started and as it is `listed` now: one that has moved may have its record of the
-    key in either scope.
+    Args:
+        endpoint: The endpoint that would get the retry.
+        pending: The request to retry.
+        find_listed: Returns the present list entry of an endpoint, or None.
     """
     request_class = pending.request_class
     if request_class.idempotency is not Idempotency.IDEMPOTENCY_KEY:
@@ -43,19 +57,23 @@
     return all(
         _share_scope(endpoint, other, scope)
         for attempt in pending.possibly_executed_attempts
-        for other in (attempt.endpoint, listed(attempt.endpoint.id))
+        for other in (attempt.endpoint, find_listed(attempt.endpoint.id))
         if other is not None
     )
 
 
-def _share_scope(one: Endpoint, other: Endpoint, scope: DeduplicationScope) -> bool:
+def _share_scope(endpoint: Endpoint, other: Endpoint, scope: DeduplicationScope) -> bool:
     if scope is DeduplicationScope.ZONE:
-        return one.zone == other.zone != ""
-    return one.deduplication_group == other.deduplication_group is not None
+        return endpoint.zone == other.zone != ""
+    return endpoint.deduplication_group == other.deduplication_group is not None
 
 
 def may_shed(pending: PendingRequest, now_us: int) -> bool:
-    """Whether a retry by the client does no harm, whenever it comes and whichever gateway gets it."""
+    """Return whether a request may be shed, after which its client may retry it at any gateway.
+
+    A request without a retry deadline may be shed. Otherwise its deadline must not have passed, and all
+    endpoints must drop a repeat of its idempotency key, since any of them may get the client's retry.
+    """
     deadline_us = retry_deadline_us(pending)
     if deadline_us is None:
         return True
@@ -64,18 +82,22 @@
 
 
 class RetryPolicy:
-    """Decides whether a request gets an attempt, the first included."""
+    """Decides whether an attempt of a request may start, including the first one."""
 
     def __init__(self, settings: Settings) -> None:
         self._settings = settings
         self._budget = RetryBudget(settings.gateway_count)
 
     def on_request(self) -> None:
-        """Count a new request, which brings its part of the retry budget."""
+        """Add the contribution of a new request to the retry budget."""
         self._budget.deposit()
 
     def allows_attempt(self, pending: PendingRequest, now_us: int) -> bool:
-        """Whether time, number of attempts, retry budget and idempotency admit another attempt."""
+        """Return whether another attempt may start.
+
+        That depends on the client's deadline, the number of attempts, the retry budget, whether hedging is
+        allowed, and idempotency.
+        """
         attempts = len(pending.attempts)
         if now_us >= pending.deadline_us or attempts >= self._settings.max_attempts:
             return False
@@ -89,10 +111,13 @@
         return deadline_us is None or now_us < deadline_us
 
     def needs_budget(self, pending: PendingRequest) -> bool:
-        """Whether the next attempt of a request has to be paid for out of the retry budget."""
+        """Return whether the next attempt of a request takes a token from the retry budget."""
         return len(pending.attempts) >= ATTEMPTS_WITHOUT_BUDGET or pending.has_attempt_in_flight
 
     def on_attempt(self, pending: PendingRequest) -> None:
-        """Pay for an attempt that is about to be added to the request."""
+        """Take a token from the retry budget if the next attempt needs one.
+
+        This has to be called before the attempt is added to the request.
+        """
         if self.needs_budget(pending):
             self._budget.withdraw()
--- a/tests/unit/policy/test_retry_budget.py
+++ b/tests/unit/policy/test_retry_budget.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from http_gateway.policy.events import Outcome
-from http_gateway.policy.retry_budget import MAX_TOKENS_OF_FLEET, TOKENS_PER_REQUEST, RetryBudget
+from http_gateway.policy.retry_budget import MAX_FLEET_TOKENS, TOKENS_PER_REQUEST, RetryBudget
 from http_gateway.policy.settings import Settings
 from http_gateway.policy.time_units import US_PER_MS
 from tests.support.policy_driver import CLASSES, PolicyDriver
@@ -40,7 +40,7 @@
 
 
 def test_new_budget_is_full_and_never_below_one_token() -> None:
-    assert spend_all(RetryBudget(gateway_count=1)) == MAX_TOKENS_OF_FLEET
+    assert spend_all(RetryBudget(gateway_count=1)) == MAX_FLEET_TOKENS
     assert spend_all(RetryBudget(gateway_count=1000)) == 1
 
 
