--- a/http_gateway/policy/endpoint_selection.py
+++ b/http_gateway/policy/endpoint_selection.py
@@ -1,4 +1,4 @@
-"""Endpoint selection: power of two choices, key affinity and zone preference."""
+"""Endpoint selection by the power of two choices, with key affinity and zone preference."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 from http_gateway.policy.subsetting import rank_by_key
 from http_gateway.policy.tracked_endpoint import TrackedEndpoint
 
-CHOICES = 2  # endpoints that are compared by their load
+CHOICE_COUNT = 2  # endpoints whose load scores are compared for an attempt
 
 
 class EndpointSelector:
-    """Chooses the endpoint of an attempt."""
+    """Selects the endpoint for each attempt."""
 
     def __init__(
         self,
@@ -35,9 +35,14 @@
         self._latency = latency
 
     def choose(self, pending: PendingRequest, now_us: int) -> TrackedEndpoint | None:
-        """The less busy of two endpoints that admit the request; the other becomes its fallback.
+        """Select the endpoint with the lower load score of two that admit the request.
 
-        A fallback that still admits the request is chosen without a new draw. None if no endpoint admits it.
+        The other one becomes the fallback for the next attempt. A fallback from an earlier call is selected
+        without a new comparison if it still admits the request. Endpoints that the request has already been
+        sent to are skipped.
+
+        Returns:
+            The selected endpoint, or None if no endpoint admits the request.
         """
         tried = {attempt.endpoint.id for attempt in pending.attempts}
         cost_us = self._latency.cost_us(pending)
@@ -48,20 +53,24 @@
             and self._admits(fallback, pending, cost_us, now_us)
         ):
             return fallback
-        drawn: list[TrackedEndpoint] = []
+        sampled: list[TrackedEndpoint] = []
         for tracked in self._candidates(pending.request.key):
-            if tracked in drawn or tracked.endpoint.id in tried:
+            if tracked in sampled or tracked.endpoint.id in tried:
                 continue
             if self._admits(tracked, pending, cost_us, now_us):
-                drawn.append(tracked)
-                if len(drawn) == CHOICES:
+                sampled.append(tracked)
+                if len(sampled) == CHOICE_COUNT:
                     break
-        drawn.sort(key=lambda tracked: tracked.load_score(now_us))
-        pending.set_fallback(drawn[1].id if len(drawn) > 1 else None)
-        return drawn[0] if drawn else None
+        sampled.sort(key=lambda tracked: tracked.load_score(now_us))
+        pending.set_fallback(sampled[1].id if len(sampled) > 1 else None)
+        return sampled[0] if sampled else None
 
     def _candidates(self, key: str | None) -> Iterator[TrackedEndpoint]:
-        """The endpoints in the order in which they are tried, some of them more than once."""
+        """Yield the endpoints in the order in which selection considers them; some occur more than once.
+
+        The order is: the ranking by request key with key affinity, then endpoints of the gateway's own zone
+        that use less than half of their concurrency limit, then the subset, then all other endpoints.
+        """
         members = self._endpoints.subset.members
         if key is not None and self._settings.key_affinity:
             yield from rank_by_key(key, members, self._endpoints.zone_weights)
@@ -71,17 +80,20 @@
                 for tracked in members
                 if tracked.endpoint.zone == self._settings.zone and tracked.concurrency.is_under_half_used
             ]
-            if len(local) >= CHOICES:
+            if len(local) >= CHOICE_COUNT:
                 yield from self._shuffled(local)
         yield from self._shuffled(members)
         yield from self._endpoints.subset.fallbacks
 
     def _shuffled(self, endpoints: list[TrackedEndpoint]) -> Iterator[TrackedEndpoint]:
-        """Shuffle in place, only as far as the caller iterates."""
-        for place in range(len(endpoints)):
-            other = self._random.randrange(place, len(endpoints))
-            endpoints[place], endpoints[other] = endpoints[other], endpoints[place]
-            yield endpoints[place]
+        """Shuffle a list in place, one element for each step of the iteration.
+
+        A caller that stops early does not pay for shuffling the rest.
+        """
+        for index in range(len(endpoints)):
+            other = self._random.randrange(index, len(endpoints))
+            endpoints[index], endpoints[other] = endpoints[other], endpoints[index]
+            yield endpoints[index]
 
     def _admits(self, tracked: TrackedEndpoint, pending: PendingRequest, cost_us: float, now_us: int) -> bool:
         if not tracked.admits(pending.request_class, now_us):
