--- a/http_gateway/policy/balancer.py
+++ b/http_gateway/policy/balancer.py
@@ -1,4 +1,4 @@
-"""The balancer: hands each event to the parts of the policy, and owns the pending requests."""
+"""The balancer, which passes events to the parts of the policy and tracks the pending requests."""
 
 from __future__ import annotations
 
@@ -38,18 +38,25 @@
 from http_gateway.policy.time_units import US_PER_S
 from http_gateway.policy.tracked_endpoint import TrackedEndpoint
 
-IN_TIME_FRACTION = 0.5  # of the latency objective, within which responses come while an endpoint has capacity
-RETRY_AFTER_FRACTION = 0.25  # of the latency objective, after which a client may come back
-RETRY_AFTER_JITTER = 0.5
-WATCH_RETRY_US = US_PER_S  # mean pause after a failed call to discovery
-WATCH_RETRY_JITTER = 0.5
-WATCH_TIMER = "subscribe"  # token of the timer that calls discovery again; all others name an attempt
+# A response within this fraction of its latency objective is in time: the endpoint has spare capacity.
+IN_TIME_FRACTION = 0.5
+# Mean delay after which the client of a shed request should retry, as a fraction of the latency objective.
+RETRY_AFTER_FRACTION = 0.25
+RETRY_AFTER_JITTER = 0.5  # the delay varies by up to this fraction in both directions
+WATCH_RETRY_US = US_PER_S  # mean delay before discovery is called again after a failure
+WATCH_RETRY_JITTER = 0.5  # the delay varies by up to this fraction in both directions
+# Token of the timer for the next call to discovery. The tokens of all other timers name an attempt.
+WATCH_TIMER = "subscribe"
 
 
 class Balancer:
-    """Takes one event and its time and returns the actions to execute, in order.
+    """Decides how a gateway handles its requests, one event at a time.
 
-    It reads no clock and does no I/O: the same settings, seed and events give the same actions.
+    It reads no clock and does no I/O, so the same settings, seed and events always give the same actions.
+
+    Args:
+        settings: The settings of the gateway.
+        seed: The seed of the random number generator.
     """
 
     def __init__(self, settings: Settings, seed: int) -> None:
@@ -69,7 +76,15 @@
         self._outliers = OutlierDetector(self._endpoints, self._latency)
 
     def handle(self, event: Event, now_us: int) -> list[Action]:
-        """Take one event; return the actions to execute, in order."""
+        """Process one event.
+
+        Args:
+            event: What happened; events of unknown types are ignored.
+            now_us: The time of the event, never earlier than that of the previous one.
+
+        Returns:
+            The actions to execute, in order.
+        """
         match event:
             case RequestArrived():
                 return self._on_request(event, now_us)
@@ -90,7 +105,7 @@
     # Requests
 
     def _on_request(self, request: RequestArrived, now_us: int) -> list[Action]:
-        request_class = self._class_of(request)
+        request_class = self._find_class(request)
         self._endpoints.follow_warm_up(now_us)
         pending = PendingRequest(request, request_class, now_us, now_us + request.timeout_us)
         self._pending[request.request_id] = pending
@@ -98,31 +113,32 @@
         over_quota = self._quotas.is_over_quota(request, now_us)
         cost_us = self._latency.cost_us(pending)
         if self._shedder.sheds(request, request_class, over_quota=over_quota, cost_us=cost_us, now_us=now_us):
-            return self._answer(pending, now_us)
-        return self._attempt_or_answer(pending, now_us)
+            return self._shed_or_fail(pending, now_us)
+        return self._continue_request(pending, now_us)
 
-    def _class_of(self, request: RequestArrived) -> RequestClass:
-        """The class of a request; one that the settings do not name must not be executed twice."""
+    def _find_class(self, request: RequestArrived) -> RequestClass:
+        """Return the class of a request; a class that the settings lack is treated as at most once."""
         known = self._classes.get(request.class_name)
         if known is not None:
             return known
         timeout_us = request.timeout_us or 1
         unknown = RequestClass("", timeout_us, timeout_us)
-        self._classes[unknown.name] = unknown  # one for all of them, since clients choose the names
+        # All unknown classes share one entry, since clients can send any number of names.
+        self._classes[unknown.name] = unknown
         return unknown
 
-    def _attempt_or_answer(self, pending: PendingRequest, now_us: int) -> list[Action]:
-        """Start another attempt, wait for those in flight, or give the final answer."""
-        actions = self._attempt(pending, now_us)
+    def _continue_request(self, pending: PendingRequest, now_us: int) -> list[Action]:
+        """Start another attempt, wait for those in flight, or shed or fail the request."""
+        actions = self._start_attempt_if_allowed(pending, now_us)
         if actions or pending.has_attempt_in_flight:
             return actions
-        # Failed attempts are a sign of bad endpoints; rejections, or no endpoint with capacity, of overload.
+        # Rejections, or no endpoint with capacity, indicate overload. Other failures indicate bad endpoints.
         if all(attempt.outcome is Outcome.REJECTED for attempt in pending.attempts):
             self._shedder.record_signal(in_time=False, now_us=now_us)
-        return self._answer(pending, now_us)
+        return self._shed_or_fail(pending, now_us)
 
-    def _attempt(self, pending: PendingRequest, now_us: int) -> list[Action]:
-        """Start an attempt, if the retry policy allows one and an endpoint admits it."""
+    def _start_attempt_if_allowed(self, pending: PendingRequest, now_us: int) -> list[Action]:
+        """Start an attempt if the retry policy allows one and an endpoint admits it."""
         if not self._retries.allows_attempt(pending, now_us):
             return []
         tracked = self._selector.choose(pending, now_us)
@@ -146,8 +162,8 @@
             SetTimer(self._outliers.slow_attempt_timeout_us(pending), f"{request_id}:{number}"),
         ]
 
-    def _answer(self, pending: PendingRequest, now_us: int) -> list[Action]:
-        """Give the final answer at once: shed where a retry does no harm, failed elsewhere."""
+    def _shed_or_fail(self, pending: PendingRequest, now_us: int) -> list[Action]:
+        """Complete a request: shed it if a retry by the client is safe, and fail it otherwise."""
         request_id = pending.request.request_id
         if may_shed(pending, now_us):
             retry_after_us = self._retry_after_us(pending.request_class)
@@ -155,15 +171,22 @@
         return [FailRequest(request_id), *self._complete(pending)]
 
     def _retry_after_us(self, request_class: RequestClass) -> int:
-        """When a client should come back: in time for its latency objective, jittered to spread retries."""
+        """Return the delay after which a client should retry; 0 if the settings do not allow the hint.
+
+        A retry after this delay can still meet the latency objective. The jitter spreads the retries of many
+        clients over time.
+        """
         jitter = self._random.uniform(1 - RETRY_AFTER_JITTER, 1 + RETRY_AFTER_JITTER)
-        pause_us = round(request_class.latency_objective_us * RETRY_AFTER_FRACTION * jitter)
+        delay_us = round(request_class.latency_objective_us * RETRY_AFTER_FRACTION * jitter)
         if not self._settings.retry_after_allowed:
             return 0
-        return min(pause_us, self._settings.max_retry_after_us)
+        return min(delay_us, self._settings.max_retry_after_us)
 
     def _complete(self, pending: PendingRequest) -> list[Action]:
-        """Cancel what is in flight, as no answer is needed; forget the request once all has ended."""
+        """Note that a request needs no answer any more, and cancel its attempts in flight if allowed.
+
+        The request is removed once all of its attempts have ended.
+        """
         is_first_completion = pending.mark_answered()
         in_flight = pending.attempts_in_flight
         if not in_flight:
@@ -178,21 +201,24 @@
     # Attempts
 
     def _on_attempt_ended(self, event: AttemptEnded, now_us: int) -> list[Action]:
-        pending, attempt = self._find(event.request_id, event.attempt_number)
+        pending, attempt = self._find_attempt(event.request_id, event.attempt_number)
         if pending is None or attempt is None:
             return []
         attempt.end(event.outcome)
         tracked = self._endpoints.of_attempt(attempt)
         if tracked is not None:
             tracked.concurrency.end_attempt()
-            self._learn(tracked, pending, attempt, now_us)
+            self._record_result(tracked, pending, attempt, now_us)
         if event.request_completed or pending.is_answered:
             return self._complete(pending)
-        return self._attempt_or_answer(pending, now_us)
+        return self._continue_request(pending, now_us)
 
     def _on_response_stream(self, event: ResponseStreamStarted, now_us: int) -> list[Action]:
-        """Hand the attempt over to the client; the duration of its stream is not measured."""
-        pending, attempt = self._find(event.request_id, event.attempt_number)
+        """Record the response of an attempt that is now streamed to the client.
+
+        The start of the response counts as its success. The duration of the stream is not measured.
+        """
+        pending, attempt = self._find_attempt(event.request_id, event.attempt_number)
         if pending is None or attempt is None:
             return []
         tracked = self._endpoints.of_attempt(attempt)
@@ -208,16 +234,19 @@
         return self._on_attempt_timer(int(request_id), int(attempt_number), now_us)
 
     def _on_attempt_timer(self, request_id: RequestId, attempt_number: int, now_us: int) -> list[Action]:
-        """A slow attempt is judged as soon as it is known to be slow, and its fallback starts beside it."""
-        pending, attempt = self._find(request_id, attempt_number)
+        """Record an attempt as slow if it is still in flight, and start a hedged attempt if allowed.
+
+        A slow attempt is recorded as a failure without waiting for its end.
+        """
+        pending, attempt = self._find_attempt(request_id, attempt_number)
         if pending is None or attempt is None or attempt.outcome is not None or attempt.is_judged:
             return []
         tracked = self._endpoints.of_attempt(attempt)
         if tracked is None or not self._outliers.record_if_slow(tracked, pending, attempt, now_us):
             return []
-        return [] if pending.is_answered else self._attempt(pending, now_us)
+        return [] if pending.is_answered else self._start_attempt_if_allowed(pending, now_us)
 
-    def _find(
+    def _find_attempt(
         self, request_id: RequestId, attempt_number: int
     ) -> tuple[PendingRequest | None, Attempt | None]:
         pending = self._pending.get(request_id)
@@ -225,23 +254,23 @@
             return pending, None
         return pending, pending.attempts[attempt_number]
 
-    # Learning from attempts that have ended
+    # Statistics of attempts that have ended
 
-    def _learn(
+    def _record_result(
         self, tracked: TrackedEndpoint, pending: PendingRequest, attempt: Attempt, now_us: int
     ) -> None:
-        """Learn from an attempt that has ended."""
-        served = attempt.outcome is Outcome.OK and not attempt.is_streaming
-        if served:
-            self._learn_latency(tracked, pending, attempt, now_us)
-        self._signal_load(pending, attempt, now_us)
-        if served:
+        """Update the latency estimates, load shedding, circuit breakers and concurrency limit."""
+        has_unstreamed_response = attempt.outcome is Outcome.OK and not attempt.is_streaming
+        if has_unstreamed_response:
+            self._record_latency(tracked, pending, attempt, now_us)
+        self._record_load_signal(pending, attempt, now_us)
+        if has_unstreamed_response:
             tracked.record_response(pending.request_class, attempt, now_us)
         if not attempt.is_judged:
-            self._adapt_concurrency(tracked, pending, attempt, now_us)
+            self._adjust_concurrency_limit(tracked, pending, attempt, now_us)
             self._outliers.record_end(tracked, pending, attempt, now_us)
 
-    def _learn_latency(
+    def _record_latency(
         self, tracked: TrackedEndpoint, pending: PendingRequest, attempt: Attempt, now_us: int
     ) -> None:
         latency_us = now_us - attempt.started_at_us
@@ -250,21 +279,22 @@
         cost_us = self._latency.cost_us(pending)
         self._slow_start.record_response(tracked, attempt.reserved_cost_us, cost_us, now_us)
 
-    def _signal_load(self, pending: PendingRequest, attempt: Attempt, now_us: int) -> None:
-        """Signal to load shedding whether the attempt was in time.
+    def _record_load_signal(self, pending: PendingRequest, attempt: Attempt, now_us: int) -> None:
+        """Tell load shedding whether an attempt was in time.
 
-        One that was cancelled before it was late, as when its client disconnects, is no sign of load.
+        An attempt that was cancelled before it was late, for example because its client disconnected, says
+        nothing about load and is not counted.
         """
-        is_late = now_us - attempt.started_at_us > _in_time_us(pending.request_class)
+        is_late = now_us - attempt.started_at_us > _in_time_limit_us(pending.request_class)
         if attempt.outcome is Outcome.OK:
             self._shedder.record_signal(in_time=not is_late, now_us=now_us)
         elif attempt.outcome is Outcome.TIMEOUT or (is_late and attempt.outcome is Outcome.CANCELLED):
             self._shedder.record_signal(in_time=False, now_us=now_us)
 
-    def _adapt_concurrency(
+    def _adjust_concurrency_limit(
         self, tracked: TrackedEndpoint, pending: PendingRequest, attempt: Attempt, now_us: int
     ) -> None:
-        in_time = now_us - pending.arrived_at_us <= _in_time_us(pending.request_class)
+        in_time = now_us - pending.arrived_at_us <= _in_time_limit_us(pending.request_class)
         if attempt.outcome is Outcome.OK and in_time:
             tracked.concurrency.increase()
         elif attempt.outcome is not Outcome.CANCELLED:
@@ -274,16 +304,19 @@
 
     def _on_endpoint_list(self, update: EndpointListUpdate, now_us: int) -> list[Action]:
         is_polled = self._settings.discovery_is_polled
-        if update.kind is ListUpdateKind.FAILED:  # the last list stays in force
+        if update.kind is ListUpdateKind.FAILED:  # the previous endpoint list stays in use
             return [self._watch_retry_timer()] if is_polled else []
         self._endpoints.apply(update, now_us)
         return [WatchEndpointList()] if is_polled and update.kind is ListUpdateKind.CACHED else []
 
     def _watch_retry_timer(self) -> SetTimer:
-        """Call discovery again after a jittered pause, so that not all gateways do so at once."""
+        """Return a timer for the next call to discovery.
+
+        Its delay is jittered so that the gateways do not all call discovery at the same time.
+        """
         jitter = self._random.uniform(1 - WATCH_RETRY_JITTER, 1 + WATCH_RETRY_JITTER)
         return SetTimer(round(WATCH_RETRY_US * jitter), WATCH_TIMER)
 
 
-def _in_time_us(request_class: RequestClass) -> float:
+def _in_time_limit_us(request_class: RequestClass) -> float:
     return IN_TIME_FRACTION * request_class.latency_objective_us
