--- a/http_gateway/policy/retry_policy.py
+++ b/http_gateway/policy/retry_policy.py
@@ -36,12 +36,13 @@
 def may_retry_on(
     endpoint: Endpoint, pending: PendingRequest, find_listed: Callable[[EndpointId], Endpoint | None]
 ) -> bool:
-    """Return whether a retry at an endpoint cannot execute the request a second time.
+    """Return whether deduplication allows a retry of a request at an endpoint.
 
-    An endpoint drops a repeated idempotency key if it shares the deduplication scope of the endpoint that
-    executed the request. The scope is checked for every endpoint that possibly executed it, once with the
-    list entry from the start of the attempt and once with the present one. If the endpoint has moved to
-    another zone or group since, its record of the key may be in either scope.
+    Only requests with an idempotency key are limited here; `retry_deadline_us` covers those that must be
+    executed at most once. An endpoint drops a repeated idempotency key if it shares the deduplication scope
+    of the endpoint that executed the request. The scope is checked against every endpoint that possibly
+    executed it, once with the list entry from the start of the attempt and once with the present one. If that
+    endpoint has moved to another zone or group since, its record of the key may be in either scope.
 
     Args:
         endpoint: The endpoint that would get the retry.
--- a/tests/unit/policy/test_retry_budget.py
+++ b/tests/unit/policy/test_retry_budget.py
@@ -1,4 +1,4 @@
-"""Attempts beyond the first and its fallback, and hedged requests, share one budget."""
+"""Tests of the budget that limits hedged attempts and all attempts of a request after the second."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from tests.support.policy_driver import CLASSES, PolicyDriver
 
 
-def spend_all(budget: RetryBudget) -> int:
-    """Withdraw all whole tokens; return how many there were."""
+def withdraw_all(budget: RetryBudget) -> int:
+    """Withdraw all whole tokens and return their number."""
     withdrawn = 0
     while budget.has_token:
         budget.withdraw()
@@ -18,7 +18,7 @@
     return withdrawn
 
 
-def attempts_if_all_reject(gateway_count: int, request_count: int) -> int:
+def count_attempts_if_all_reject(gateway_count: int, request_count: int) -> int:
     settings = Settings(CLASSES, gateway_count=gateway_count, max_attempts=9, hedging_allowed=True)
     driver = PolicyDriver(settings, 60)
     for _ in range(request_count):
@@ -29,28 +29,28 @@
     return len(driver.attempts)
 
 
-def test_rejected_request_gets_an_attempt_a_fallback_and_a_tenth_of_a_retry() -> None:
-    """If each of hundreds of gateways retried as often as allowed, full endpoints would stay full."""
-    assert attempts_if_all_reject(400, 100) <= 100 * (2 + TOKENS_PER_REQUEST) + 1
+def test_rejected_request_gets_two_attempts_and_a_tenth_of_another() -> None:
+    """Guards against a retry storm, in which the retries of hundreds of gateways keep full endpoints full."""
+    assert count_attempts_if_all_reject(400, 100) <= 100 * (2 + TOKENS_PER_REQUEST) + 1
 
 
 def test_initial_tokens_are_divided_among_the_gateways() -> None:
-    assert attempts_if_all_reject(1, 1) == 9
-    assert attempts_if_all_reject(400, 1) == 3
+    assert count_attempts_if_all_reject(1, 1) == 9
+    assert count_attempts_if_all_reject(400, 1) == 3
 
 
-def test_new_budget_is_full_and_never_below_one_token() -> None:
-    assert spend_all(RetryBudget(gateway_count=1)) == MAX_FLEET_TOKENS
-    assert spend_all(RetryBudget(gateway_count=1000)) == 1
+def test_new_budget_is_full_and_has_at_least_one_token() -> None:
+    assert withdraw_all(RetryBudget(gateway_count=1)) == MAX_FLEET_TOKENS
+    assert withdraw_all(RetryBudget(gateway_count=1000)) == 1
 
 
-def test_deposits_add_up_to_whole_tokens_but_not_beyond_the_capacity() -> None:
+def test_deposits_add_up_to_whole_tokens_up_to_the_capacity() -> None:
     budget = RetryBudget(gateway_count=10)
-    spend_all(budget)
+    withdraw_all(budget)
     deposits_per_token = round(1 / TOKENS_PER_REQUEST)
     for _ in range(deposits_per_token - 1):
         budget.deposit()
     assert not budget.has_token
     for _ in range(100 * deposits_per_token):
         budget.deposit()
-    assert spend_all(budget) == 2
+    assert withdraw_all(budget) == 2
--- a/tests/unit/policy/test_retry_policy.py
+++ b/tests/unit/policy/test_retry_policy.py
@@ -1,4 +1,4 @@
-"""Where and until when a request that was possibly executed is retried or shed."""
+"""Tests of where and how long a possibly executed request may be retried or shed."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from http_gateway.policy.time_units import US_PER_MS
 from tests.support.policy_driver import KEYED_CLASSES, FinalAnswer, PolicyDriver
 
-MEMBER = Endpoint(1, zone="a", deduplication_group=1)
+ENDPOINT = Endpoint(1, zone="a", deduplication_group=1)
 
 
 def test_retry_has_to_be_written_within_the_deduplication_window() -> None:
@@ -30,10 +30,10 @@
 @pytest.mark.parametrize(
     ("is_window_over", "answer"), [(False, FinalAnswer.SHED), (True, FinalAnswer.FAILED)]
 )
-def test_possibly_executed_request_is_shed_within_its_deduplication_window_only(
+def test_possibly_executed_request_is_shed_only_within_its_deduplication_window(
     is_window_over: bool, answer: FinalAnswer
 ) -> None:
-    """A client may retry a request that is shed; after the window that would be executed a second time."""
+    """A client may retry a shed request, and after the window the retry would be executed a second time."""
     request_class = KEYED_CLASSES[DeduplicationScope.ALL]
     driver = PolicyDriver(endpoint_count=1)
     request_id = driver.send_request(request_class)
@@ -43,7 +43,7 @@
 
 
 def test_retry_without_risk_of_a_second_execution_has_no_deadline() -> None:
-    """The request was not executed, or is idempotent."""
+    """There is no such risk if the request was not executed or is idempotent."""
     driver = PolicyDriver(endpoint_count=8)
     rejected = driver.send_request(KEYED_CLASSES[DeduplicationScope.GROUP])
     driver.end_attempt(driver.in_flight(rejected)[0], Outcome.REJECTED)
@@ -54,37 +54,37 @@
 
 
 @pytest.mark.parametrize(
-    ("scope", "moved_member"),
+    ("scope", "moved_endpoint"),
     [
-        (DeduplicationScope.ZONE, replace(MEMBER, zone="b")),
-        (DeduplicationScope.GROUP, replace(MEMBER, deduplication_group=2)),
+        (DeduplicationScope.ZONE, replace(ENDPOINT, zone="b")),
+        (DeduplicationScope.GROUP, replace(ENDPOINT, deduplication_group=2)),
     ],
 )
-def test_retry_needs_the_scope_of_the_endpoint_as_it_was_and_as_it_is_now(
-    scope: DeduplicationScope, moved_member: Endpoint
+def test_retry_needs_both_the_former_and_the_current_scope_of_the_first_endpoint(
+    scope: DeduplicationScope, moved_endpoint: Endpoint
 ) -> None:
-    """The endpoint has moved since: either scope may have its memory of the key."""
+    """After an endpoint has moved to another zone or group, its record of the key may be in either scope."""
     driver = PolicyDriver(endpoint_count=0)
-    driver.notify_endpoints([MEMBER, replace(MEMBER, id=2)])
+    driver.notify_endpoints([ENDPOINT, replace(ENDPOINT, id=2)])
     request_id = driver.send_request(KEYED_CLASSES[scope])
     (attempt,) = driver.in_flight(request_id)
-    driver.notify_endpoints([replace(moved_member, id=attempt.endpoint_id)], ListUpdateKind.DELTA)
+    driver.notify_endpoints([replace(moved_endpoint, id=attempt.endpoint_id)], ListUpdateKind.DELTA)
     driver.end_attempt(attempt, Outcome.RESET)
     assert driver.answers[request_id] == [FinalAnswer.FAILED]
 
 
 @pytest.mark.parametrize(
-    ("scope", "unknown_member"),
+    ("scope", "endpoint_without_scope"),
     [
-        (DeduplicationScope.ZONE, replace(MEMBER, zone="")),
-        (DeduplicationScope.GROUP, replace(MEMBER, deduplication_group=None)),
+        (DeduplicationScope.ZONE, replace(ENDPOINT, zone="")),
+        (DeduplicationScope.GROUP, replace(ENDPOINT, deduplication_group=None)),
     ],
 )
-def test_endpoints_of_unknown_scope_do_not_share_one(
-    scope: DeduplicationScope, unknown_member: Endpoint
+def test_endpoints_with_unknown_scope_do_not_share_it(
+    scope: DeduplicationScope, endpoint_without_scope: Endpoint
 ) -> None:
     driver = PolicyDriver(endpoint_count=0)
-    driver.notify_endpoints([unknown_member, replace(unknown_member, id=2)])
+    driver.notify_endpoints([endpoint_without_scope, replace(endpoint_without_scope, id=2)])
     request_id = driver.send_request(KEYED_CLASSES[scope])
     driver.end_attempt(driver.in_flight(request_id)[0], Outcome.RESET)
     assert len(driver.attempts_of(request_id)) == 1
