--- a/tests/unit/policy/test_balancer.py
+++ b/tests/unit/policy/test_balancer.py
@@ -1,4 +1,4 @@
-"""Events that only the balancer itself handles: response streams, and calls to discovery."""
+"""Tests of the events that only the balancer handles: response streams and discovery results."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from tests.support.policy_driver import CLASSES, FinalAnswer, PolicyDriver
 
 
-def test_response_stream_cancels_the_other_attempts_only() -> None:
+def test_response_stream_cancels_only_the_other_attempts() -> None:
     driver = PolicyDriver(Settings(CLASSES, hedging_allowed=True, cancellation_allowed=True))
     request_id = driver.send_request()
     [timer] = driver.take_timers()
@@ -23,7 +23,7 @@
     assert driver.answers[request_id] == [FinalAnswer.SERVED]
 
 
-def test_attempt_that_streams_is_never_slow() -> None:
+def test_streaming_attempt_never_counts_as_slow() -> None:
     driver = PolicyDriver(Settings(CLASSES, hedging_allowed=True))
     request_id = driver.send_request()
     [timer] = driver.take_timers()
@@ -41,7 +41,7 @@
         (False, ListUpdateKind.CACHED, 0),
     ],
 )
-def test_cached_list_starts_a_watch_where_discovery_is_polled(
+def test_cached_list_starts_a_watch_if_discovery_is_polled(
     is_polled: bool, kind: ListUpdateKind, watch_requests: int
 ) -> None:
     driver = PolicyDriver(Settings(CLASSES, discovery_is_polled=is_polled), endpoint_count=0)
@@ -49,12 +49,12 @@
     assert driver.watch_requests == watch_requests
 
 
-def test_failed_watch_is_retried_after_a_jittered_pause() -> None:
+def test_failed_watch_is_retried_after_a_jittered_delay() -> None:
     driver = PolicyDriver(Settings(CLASSES, discovery_is_polled=True), endpoint_count=0)
     driver.notify_endpoints((), ListUpdateKind.FAILED)
     [timer] = driver.take_timers()
     assert timer.token == WATCH_TIMER
-    pause_us = timer.due_at_us - driver.now_us
-    assert abs(pause_us - WATCH_RETRY_US) <= WATCH_RETRY_JITTER * WATCH_RETRY_US
+    delay_us = timer.due_at_us - driver.now_us
+    assert abs(delay_us - WATCH_RETRY_US) <= WATCH_RETRY_JITTER * WATCH_RETRY_US
     driver.fire_timer(timer.due_at_us, timer.token)
     assert driver.watch_requests == 1
--- a/tests/unit/policy/test_load_score.py
+++ b/tests/unit/policy/test_load_score.py
@@ -1,4 +1,4 @@
-"""The load score of one endpoint."""
+"""Tests of the load score of an endpoint."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     assert LoadScore(FAILURE_WINDOW_US).score(in_flight=3, now_us=0) == 4
 
 
-def test_latency_ratio_multiplies_the_score_until_it_is_forgotten() -> None:
+def test_latency_ratio_multiplies_the_score_until_it_has_decayed() -> None:
     load = LoadScore(FAILURE_WINDOW_US)
     load.record_latency(latency_us=300, expected_us=100, now_us=0)
     ratio = 1 + LATENCY_RATIO_GAIN * 2
@@ -23,7 +23,7 @@
     assert load.score(1, LATENCY_RATIO_WINDOW_US) == 2
 
 
-def test_failure_counts_as_an_attempt_in_flight_until_it_is_forgotten() -> None:
+def test_failure_counts_as_an_attempt_in_flight_until_it_has_decayed() -> None:
     load = LoadScore(FAILURE_WINDOW_US)
     load.record_failure(now_us=0)
     assert load.score(0, 0) == 2
@@ -31,7 +31,7 @@
     assert load.score(0, FAILURE_WINDOW_US) == 1
 
 
-def test_failures_add_to_what_remains_of_earlier_ones() -> None:
+def test_new_failure_adds_to_the_decayed_earlier_failures() -> None:
     load = LoadScore(FAILURE_WINDOW_US)
     load.record_failure(now_us=0)
     load.record_failure(now_us=FAILURE_WINDOW_US // 2)
