--- a/tests/unit/policy/test_policy_rules.py
+++ b/tests/unit/policy/test_policy_rules.py
@@ -1,4 +1,7 @@
-"""The policy rules over generated event sequences; the driver asserts them at every action."""
+"""Property tests of the policy rules with generated event sequences.
+
+The driver checks every action of the policy against the rules.
+"""
 
 from __future__ import annotations
 
@@ -16,10 +19,10 @@
 
 
 class Step(Protocol):
-    """Something that happens to a gateway."""
+    """One step of a generated sequence, such as an event or a pause."""
 
     def apply(self, driver: PolicyDriver) -> None:
-        """Let it happen."""
+        """Apply the step to the policy that a driver calls."""
 
 
 @dataclass(frozen=True)
@@ -30,7 +33,7 @@
     timeout_ms: int
 
     def apply(self, driver: PolicyDriver) -> None:
-        """Send it."""
+        """Send the request."""
         driver.send_request(
             CLASSES[self.class_index],
             self.timeout_ms * US_PER_MS,
@@ -41,13 +44,13 @@
 
 @dataclass(frozen=True)
 class EndAttempt:
-    """An attempt in flight ends, if there is one."""
+    """An attempt ends; nothing happens if none is in flight."""
 
     number: int
     outcome: Outcome
 
     def apply(self, driver: PolicyDriver) -> None:
-        """End it."""
+        """End the attempt."""
         in_flight = driver.in_flight()
         if in_flight:
             attempt = in_flight[self.number % len(in_flight)]
@@ -61,55 +64,55 @@
     duration_ms: int
 
     def apply(self, driver: PolicyDriver) -> None:
-        """Let it pass."""
+        """Advance the clock of the driver."""
         driver.run_until(driver.now_us + self.duration_ms * US_PER_MS)
 
 
 @dataclass(frozen=True)
 class Disconnect:
-    """A client disconnects, if one waits."""
+    """A client disconnects; nothing happens if no request is unanswered."""
 
     number: int
 
     def apply(self, driver: PolicyDriver) -> None:
-        """Disconnect it."""
+        """Disconnect one of the waiting clients."""
         if driver.unanswered:
             driver.abandon(list(driver.unanswered)[self.number % len(driver.unanswered)])
 
 
 @dataclass(frozen=True)
 class ChangeState:
-    """An endpoint changes its state, or is new."""
+    """Discovery lists an endpoint, known or new, with a certain state."""
 
     endpoint_id: EndpointId
     state: EndpointState
 
     def apply(self, driver: PolicyDriver) -> None:
-        """Notify the gateway."""
+        """Send the new state of the endpoint to the policy."""
         driver.notify_endpoints([changed_endpoint(self.endpoint_id, self.state)], ListUpdateKind.DELTA)
 
 
 @dataclass(frozen=True)
 class RestartEndpoint:
-    """An endpoint restarts."""
+    """An endpoint restarts, so it is listed with a new start time."""
 
     endpoint_id: EndpointId
 
     def apply(self, driver: PolicyDriver) -> None:
-        """Notify the gateway."""
+        """Send the restarted endpoint to the policy."""
         restarted = changed_endpoint(self.endpoint_id, EndpointState.READY, driver.now_us)
         driver.notify_endpoints([restarted], ListUpdateKind.DELTA)
 
 
 @dataclass(frozen=True)
 class ReplaceList:
-    """A whole endpoint list arrives."""
+    """Discovery sends a complete endpoint list."""
 
     endpoint_count: int
     kind: ListUpdateKind
 
     def apply(self, driver: PolicyDriver) -> None:
-        """Notify the gateway."""
+        """Send the complete list to the policy."""
         driver.notify_endpoints(endpoints(self.endpoint_count), self.kind)
 
 
@@ -118,12 +121,12 @@
     """A call to discovery fails."""
 
     def apply(self, driver: PolicyDriver) -> None:
-        """Notify the gateway."""
+        """Report the failed call to the policy."""
         driver.notify_endpoints((), ListUpdateKind.FAILED)
 
 
 def changed_endpoint(endpoint_id: EndpointId, state: EndpointState, started_at_us: int = 0) -> Endpoint:
-    """An endpoint in the zone and group that `endpoints` gives it."""
+    """Return an endpoint in the same zone and deduplication group as `endpoints` would create it."""
     return Endpoint(
         endpoint_id,
         state,
@@ -169,7 +172,7 @@
 
 @settings(derandomize=True, database=None, deadline=None, max_examples=300)
 @given(SETTINGS, st.integers(0, 6), st.integers(0, 3), STEPS)
-def test_every_request_gets_one_final_answer_and_every_attempt_keeps_the_rules(
+def test_each_request_gets_one_final_answer_and_actions_follow_the_rules(
     policy_settings: Settings, endpoint_count: int, seed: int, steps: list[Step]
 ) -> None:
     driver = PolicyDriver(policy_settings, endpoint_count, seed)
@@ -181,15 +184,15 @@
 
 
 NEW_ENDPOINT_ID = 9
-USUAL_COST_MS = 40
+TYPICAL_COST_MS = 40
 MAX_COST_MS = 80
 
 
-def serve_usual_traffic(driver: PolicyDriver, count: int) -> None:
-    """Requests of the usual cost that succeed at once."""
+def serve_typical_traffic(driver: PolicyDriver, count: int) -> None:
+    """Send requests of typical cost that succeed at once."""
     for _ in range(count):
         driver.advance(20 * US_PER_MS)
-        driver.send_request(cost_us=USUAL_COST_MS * US_PER_MS)
+        driver.send_request(cost_us=TYPICAL_COST_MS * US_PER_MS)
         for attempt in driver.in_flight():
             driver.end_attempt(attempt)
 
@@ -200,10 +203,14 @@
     st.sampled_from([0.12, 0.3]),
     st.lists(st.tuples(st.integers(1, 60), st.integers(1, MAX_COST_MS)), min_size=50, max_size=300),
 )
-def test_endpoint_warming_up_gets_no_more_than_its_share_in_any_window(
+def test_endpoint_in_slow_start_gets_at_most_its_share_in_any_window(
     seed: int, initial_capacity: float, gaps_and_costs_ms: list[tuple[int, int]]
 ) -> None:
-    """Whatever this gateway's traffic, the endpoint's share of it stays near its share of the capacity."""
+    """Slow start must limit the work of a new endpoint for any request costs and gaps between requests.
+
+    In every overload window the endpoint gets at most the overload factor times its share of the capacity,
+    and two requests of maximal cost.
+    """
     policy_settings = Settings(
         CLASSES,
         initial_capacity=initial_capacity,
@@ -212,27 +219,27 @@
         cancellation_allowed=True,
     )
     driver = PolicyDriver(policy_settings, 4, seed)
-    serve_usual_traffic(driver, 100)
+    serve_typical_traffic(driver, 100)
     started_at_us = driver.now_us
     driver.notify_endpoints([Endpoint(NEW_ENDPOINT_ID, started_at_us=started_at_us)], ListUpdateKind.DELTA)
-    cost_ms = {attempt.request_id: USUAL_COST_MS for attempt in driver.attempts}
+    cost_ms = {attempt.request_id: TYPICAL_COST_MS for attempt in driver.attempts}
     for gap_ms, request_cost_ms in gaps_and_costs_ms:
         driver.run_until(driver.now_us + gap_ms * US_PER_MS)
         cost_ms[driver.send_request(cost_us=request_cost_ms * US_PER_MS)] = request_cost_ms
         for attempt in driver.in_flight():
-            is_new = attempt.endpoint_id == NEW_ENDPOINT_ID
-            driver.end_attempt(attempt, Outcome.REJECTED if is_new else Outcome.OK)
+            is_new_endpoint = attempt.endpoint_id == NEW_ENDPOINT_ID
+            driver.end_attempt(attempt, Outcome.REJECTED if is_new_endpoint else Outcome.OK)
     window_us = policy_settings.overload_window_us
-    for begin_at_us in range(started_at_us, driver.now_us, 500 * US_PER_MS):
-        end_at_us = begin_at_us + window_us
+    for window_start_us in range(started_at_us, driver.now_us, 500 * US_PER_MS):
+        window_end_us = window_start_us + window_us
         in_window = [
-            attempt for attempt in driver.attempts if begin_at_us <= attempt.started_at_us < end_at_us
+            attempt for attempt in driver.attempts if window_start_us <= attempt.started_at_us < window_end_us
         ]
-        total = sum(cost_ms[attempt.request_id] for attempt in in_window)
-        of_new = sum(
+        total_cost_ms = sum(cost_ms[attempt.request_id] for attempt in in_window)
+        new_endpoint_cost_ms = sum(
             cost_ms[attempt.request_id] for attempt in in_window if attempt.endpoint_id == NEW_ENDPOINT_ID
         )
-        age = (end_at_us - started_at_us) / policy_settings.slow_start_window_us
-        capacity_fraction = initial_capacity + (1 - initial_capacity) * age
-        allowed = policy_settings.overload_factor * total * capacity_fraction / 4
-        assert of_new <= allowed + 2 * MAX_COST_MS
+        elapsed_fraction = (window_end_us - started_at_us) / policy_settings.slow_start_window_us
+        capacity_fraction = initial_capacity + (1 - initial_capacity) * elapsed_fraction
+        allowed_cost_ms = policy_settings.overload_factor * total_cost_ms * capacity_fraction / 4
+        assert new_endpoint_cost_ms <= allowed_cost_ms + 2 * MAX_COST_MS
