--- a/tests/support/pending_requests.py
+++ b/tests/support/pending_requests.py
@@ -1,4 +1,4 @@
-"""Pending requests for tests of single modules of the policy."""
+"""Pending requests for unit tests of policy modules."""
 
 from __future__ import annotations
 
@@ -9,6 +9,6 @@
 
 
 def pending_request(request_class: RequestClass = READ, cost_us: int = 0) -> PendingRequest:
-    """Return a request that arrived at moment 0 and has no attempt yet."""
+    """Return a request that arrived at time 0 and has no attempts yet."""
     request = RequestArrived(1, request_class.name, DEFAULT_TIMEOUT_US, cost_us)
     return PendingRequest(request, request_class, 0, DEFAULT_TIMEOUT_US)
--- a/tests/support/policy_driver.py
+++ b/tests/support/policy_driver.py
@@ -1,4 +1,4 @@
-"""Drives one policy in place of its caller, and asserts the policy rules at every action."""
+"""A test driver that calls one policy and checks every action against the policy rules."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
     assert_shed_allowed,
 )
 
-DEFAULT_TIMEOUT_US = 400 * US_PER_MS  # of a request
+DEFAULT_TIMEOUT_US = 400 * US_PER_MS  # client timeout of a request
 
 READ = RequestClass("read", 150 * US_PER_MS, 500 * US_PER_MS, Idempotency.IDEMPOTENT)
 BUY = RequestClass("buy", 150 * US_PER_MS, 500 * US_PER_MS, Idempotency.AT_MOST_ONCE)
@@ -59,7 +59,7 @@
 
 
 def endpoints(count: int, started_at_us: int = 0) -> tuple[Endpoint, ...]:
-    """Return ready endpoints with ids from 1, in two zones and deduplication groups of two."""
+    """Return ready endpoints with ids from 1 in two zones and in deduplication groups of two."""
     return tuple(
         Endpoint(
             endpoint_id,
@@ -88,7 +88,7 @@
 
 
 class Timer(NamedTuple):
-    """A timer that the policy has set."""
+    """A timer that the policy has set and that has not fired."""
 
     due_at_us: int
     token: str
@@ -108,20 +108,20 @@
 
     @property
     def in_flight(self) -> bool:
-        """Whether it has not ended."""
+        """Whether the attempt has not ended."""
         return self.outcome is None
 
     @property
     def possibly_executed(self) -> bool:
-        """Whether the endpoint may have executed the request, or may yet do so."""
+        """Whether the endpoint may have executed the request, or may still execute it."""
         return self.outcome is None or not self.outcome.proves_not_executed
 
 
 @dataclass
 class PolicyDriver:
-    """Plays the caller of one policy and asserts the rules at every action.
+    """Calls one policy with events and checks every action that it returns.
 
-    Time stands still unless a test advances it.
+    Its clock only advances when a test calls a method that does so.
     """
 
     settings: Settings = field(default_factory=lambda: Settings(CLASSES))
@@ -146,26 +146,26 @@
     # Time
 
     def advance(self, duration_us: int) -> None:
-        """Let time pass, without firing timers."""
+        """Advance the clock by a duration without firing timers."""
         self.now_us += duration_us
 
-    def advance_to(self, moment_us: int) -> None:
-        """Let time pass until a moment, without firing timers."""
-        self.now_us = moment_us
+    def advance_to(self, time_us: int) -> None:
+        """Set the clock to a time without firing timers."""
+        self.now_us = time_us
 
     def fire_timer(self, due_at_us: int, token: str) -> list[Action]:
-        """Fire a timer at its moment, or now if that has passed."""
+        """Advance the clock to the due time of a timer, unless that has passed, and fire the timer."""
         self.now_us = max(self.now_us, due_at_us)
         return self.feed(TimerFired(token))
 
     def fire_due_timers(self) -> None:
-        """Fire the timers that are due by now, in the order in which they were set."""
+        """Fire all timers that are due, in the order in which they were set."""
         for timer in [timer for timer in self.timers if timer.due_at_us <= self.now_us]:
             self.timers.remove(timer)
             self.fire_timer(timer.due_at_us, timer.token)
 
     def run_until(self, end_at_us: int) -> None:
-        """Let timers fire and deadlines pass in their order."""
+        """Advance the clock to a time; fire timers and expire attempts on the way, in order of time."""
         while True:
             timers = [timer.due_at_us for timer in self.timers]
             deadlines = [unanswered.deadline_us for unanswered in self.unanswered.values()]
@@ -179,7 +179,10 @@
         self.now_us = end_at_us
 
     def expire_overdue(self) -> None:
-        """Time out attempts past their own expiry or their client's deadline, as the caller must."""
+        """Time out the attempts that have expired or whose client's deadline has passed.
+
+        The caller of a policy has to do the same. A request must have its final answer by its deadline.
+        """
         overdue = [
             request_id
             for request_id, unanswered in self.unanswered.items()
@@ -189,24 +192,24 @@
             if attempt.request_id in overdue or 0 < attempt.expires_at_us <= self.now_us:
                 self.end_attempt(attempt, Outcome.TIMEOUT)
         is_answered = not any(request_id in self.unanswered for request_id in overdue)
-        assert is_answered, "no final answer by the deadline"
+        assert is_answered, "request without a final answer at its deadline"
 
     # Events
 
     def feed(self, event: Event) -> list[Action]:
-        """Hand an event to the policy and check the actions that it returns."""
+        """Pass an event to the policy and check the actions that it returns."""
         actions = self.balancer.handle(event, self.now_us)
         for action in actions:
-            self._check(action)
+            self._check_action(action)
         return actions
 
     def notify_endpoints(
         self, entries: Iterable[Endpoint], kind: ListUpdateKind = ListUpdateKind.COMPLETE
     ) -> list[Action]:
-        """Notify the policy of an endpoint list."""
-        named = {endpoint.id: endpoint for endpoint in entries}
-        self.notified.update(named.values(), kind, self.now_us)
-        return self.feed(EndpointListUpdate(kind, tuple(named.values())))
+        """Send an endpoint list to the policy."""
+        entries_by_id = {endpoint.id: endpoint for endpoint in entries}
+        self.notified.update(entries_by_id.values(), kind, self.now_us)
+        return self.feed(EndpointListUpdate(kind, tuple(entries_by_id.values())))
 
     def send_request(
         self,
@@ -217,7 +220,7 @@
         is_client_retry: bool = False,
         tenant: str = "",
     ) -> RequestId:
-        """Have a client send a request."""
+        """Send a new request to the policy and return its id."""
         request_id = len(self.answers) + 1
         request = RequestArrived(
             request_id, request_class.name, timeout_us, cost_us, key, is_client_retry, tenant
@@ -231,7 +234,7 @@
     def serve_request(
         self, request_class: RequestClass = READ, latency_us: int = 30 * US_PER_MS
     ) -> DrivenAttempt:
-        """Send a request and let its first attempt succeed after a latency."""
+        """Send a request, let its first attempt succeed after a latency, and return that attempt."""
         attempt = self.in_flight(self.send_request(request_class))[0]
         self.advance(latency_us)
         self.end_attempt(attempt)
@@ -262,7 +265,7 @@
         )
 
     def start_stream(self, attempt: DrivenAttempt) -> list[Action]:
-        """Let the response of an attempt begin to flow."""
+        """Start to stream the response of an attempt to the client."""
         return self.feed(
             ResponseStreamStarted(
                 attempt.request_id, attempt.number, attempt.endpoint_id, self.now_us - attempt.started_at_us
@@ -270,7 +273,7 @@
         )
 
     def abandon(self, request_id: RequestId) -> list[Action]:
-        """Let the client of a request disconnect."""
+        """Disconnect the client of a request."""
         self.unanswered.pop(request_id, None)
         self.answers[request_id].append(FinalAnswer.ABANDONED)
         return self.feed(RequestAbandoned(request_id))
@@ -278,11 +281,11 @@
     # Attempts
 
     def attempts_of(self, request_id: RequestId) -> list[DrivenAttempt]:
-        """Return the attempts of a request, the first one first."""
+        """Return the attempts of a request in starting order."""
         return [attempt for attempt in self.attempts if attempt.request_id == request_id]
 
     def in_flight(self, request_id: RequestId | None = None) -> list[DrivenAttempt]:
-        """Return the attempts in flight, of one request or of all."""
+        """Return the attempts in flight of one request, or of all requests if no id is given."""
         return [
             attempt
             for attempt in self.attempts
@@ -290,21 +293,21 @@
         ]
 
     def take_new_attempts(self) -> list[DrivenAttempt]:
-        """Return the attempts that were started since the last call."""
+        """Return the attempts that were started since the previous call of this method."""
         taken, self._new_attempts = self._new_attempts, []
         return taken
 
     def take_timers(self) -> list[Timer]:
-        """Remove and return the timers that are set."""
+        """Remove all timers that are set and return them."""
         taken, self.timers = self.timers, []
         return taken
 
-    def forget_completed(self, keep: int) -> None:
-        """Drop the attempts of completed requests once there are more than `keep` attempts in all.
+    def forget_completed(self, max_attempts: int) -> None:
+        """Remove the attempts of completed requests once there are more than `max_attempts` attempts.
 
-        Many methods look through all attempts, so long simulations would slow down.
+        Many methods search all attempts, so a long simulation would slow down without this.
         """
-        if len(self.attempts) > keep:
+        if len(self.attempts) > max_attempts:
             busy = {attempt.request_id for attempt in self.in_flight()}
             self.attempts = [
                 attempt
@@ -313,14 +316,14 @@
             ]
 
     def forget_everything_started(self) -> None:
-        """Drop all attempts and timers; attempts in flight then never end."""
+        """Remove all attempts and timers; the attempts in flight then never end."""
         self.attempts.clear()
         self._new_attempts.clear()
         self.timers.clear()
 
-    # Rules
+    # Policy rules
 
-    def _check(self, action: Action) -> None:
+    def _check_action(self, action: Action) -> None:
         match action:
             case StartAttempt():
                 self._check_attempt(action)
@@ -339,9 +342,9 @@
                 self.watch_requests += 1
 
     def _check_attempt(self, action: StartAttempt) -> None:
-        assert action.request_id in self.unanswered, "an attempt after the request was completed"
+        assert action.request_id in self.unanswered, "attempt started after the request was completed"
         request, deadline_us = self.unanswered[action.request_id]
-        assert self.now_us < deadline_us, "an attempt after the deadline"
+        assert self.now_us < deadline_us, "attempt started after the client's deadline"
         earlier = self.attempts_of(action.request_id)
         self.notified.assert_ready(action.endpoint_id)
         assert_attempt_allowed(self.settings, earlier)
@@ -358,7 +361,7 @@
         self._new_attempts.append(attempt)
 
     def _check_answer(self, action: ShedRequest | FailRequest) -> None:
-        assert action.request_id in self.unanswered, "a second final answer"
+        assert action.request_id in self.unanswered, "second final answer to a request"
         request, _ = self.unanswered.pop(action.request_id)
         if isinstance(action, ShedRequest):
             assert_shed_allowed(self._class_of(request), self.attempts_of(request.request_id))
--- a/tests/support/retries.py
+++ b/tests/support/retries.py
@@ -1,4 +1,4 @@
-"""Request classes with a deduplication window, and the order in which endpoints are tried."""
+"""Helpers for retry tests: request classes with a deduplication window and a fixed endpoint order."""
 
 from __future__ import annotations
 
@@ -28,7 +28,15 @@
 
 
 def prefer_endpoints(gateway: RunningGateway, *peers: LoopbackPeer) -> None:
-    """Have the policy try the endpoints in this order."""
+    """Make the policy select endpoints in the given order.
+
+    Each endpoint gets a higher latency ratio than the one before it. The time of the ratio is far in the
+    future, so that the ratio does not decay.
+
+    Args:
+        gateway: The gateway whose policy is changed.
+        peers: The endpoints, the preferred one first.
+    """
     order = [peer.endpoint_entry().endpoint.id for peer in peers]
     known = gateway.balancer._endpoints._endpoints
 
@@ -36,14 +44,18 @@
         return iter([known[endpoint_id] for endpoint_id in order if endpoint_id in known])
 
     gateway.balancer._selector._candidates = candidates  # type: ignore[method-assign]
-    for place, endpoint_id in enumerate(order):
-        known[endpoint_id].load.latency_ratio = 1.0 + place
+    for rank, endpoint_id in enumerate(order):
+        known[endpoint_id].load.latency_ratio = 1.0 + rank
         known[endpoint_id].load.latency_ratio_at_us = 2**62
 
 
 async def request_with_key(
     gateway: RunningGateway, request_class: RequestClass
 ) -> tuple[LoopbackClient, Message]:
-    """Make a request with an idempotency key; return its client, still connected, and the response."""
+    """Send a request with an idempotency key and wait for the response.
+
+    Returns:
+        The client, whose connection is still open, and the response.
+    """
     client = await gateway.connect()
     return client, await client.request(request_class.name, KEY_HEADERS)
