--- a/http_gateway/policy/balancer.py
+++ b/http_gateway/policy/balancer.py
@@ -239,7 +239,7 @@
         A slow attempt is recorded as a failure without waiting for its end.
         """
         pending, attempt = self._find_attempt(request_id, attempt_number)
-        if pending is None or attempt is None or attempt.outcome is not None or attempt.is_judged:
+        if pending is None or attempt is None or attempt.outcome is not None or attempt.is_result_recorded:
             return []
         tracked = self._endpoints.of_attempt(attempt)
         if tracked is None or not self._outliers.record_if_slow(tracked, pending, attempt, now_us):
@@ -266,7 +266,7 @@
         self._record_load_signal(pending, attempt, now_us)
         if has_unstreamed_response:
             tracked.record_response(pending.request_class, attempt, now_us)
-        if not attempt.is_judged:
+        if not attempt.is_result_recorded:
             self._adjust_concurrency_limit(tracked, pending, attempt, now_us)
             self._outliers.record_end(tracked, pending, attempt, now_us)
 
--- a/http_gateway/policy/pending_request.py
+++ b/http_gateway/policy/pending_request.py
@@ -18,7 +18,7 @@
     is_probe: bool = False  # the half-open probe of the endpoint's circuit breaker
     is_class_probe: bool = False  # the half-open probe of the endpoint's breaker for this request class
     # Its success or failure was recorded for the endpoint while it was in flight, so its end is not.
-    is_judged: bool = False
+    is_result_recorded: bool = False
     is_streaming: bool = False  # its response is being streamed to the client, so it is not cancelled
     reserved_cost_us: float = 0.0  # taken from the endpoint's slow start token bucket; 0 if it is warm
     outcome: Outcome | None = None  # None while the attempt is in flight
@@ -39,14 +39,14 @@
 
     def mark_judged(self) -> None:
         """Note that the success or failure of the attempt has been recorded for its endpoint."""
-        self.is_judged = True
+        self.is_result_recorded = True
 
     def mark_streaming(self) -> None:
         """Note that the response is being streamed to the client.
 
         The start of the stream counts as the success of the attempt, so its result has been recorded.
         """
-        self.is_judged = self.is_streaming = True
+        self.is_result_recorded = self.is_streaming = True
 
 
 @dataclass(slots=True)
--- a/http_gateway/policy/tracked_endpoint.py
+++ b/http_gateway/policy/tracked_endpoint.py
@@ -64,7 +64,7 @@
 
     def record_response(self, request_class: RequestClass, attempt: Attempt, now_us: int) -> None:
         """Record a response at the breakers; after a verdict only that its class is answered counts."""
-        if not attempt.is_judged:
+        if not attempt.is_result_recorded:
             self.breaker.record_success(attempt.is_probe)
-        is_class_probe = attempt.is_class_probe and not attempt.is_judged
+        is_class_probe = attempt.is_class_probe and not attempt.is_result_recorded
         self.class_breaker(request_class).record_response(now_us, is_class_probe)
