--- a/http_gateway/policy/outlier_detection.py
+++ b/http_gateway/policy/outlier_detection.py
@@ -59,7 +59,7 @@
         elapsed_us = now_us - attempt.started_at_us
         if elapsed_us < SLOW_ATTEMPT_FACTOR * self._latency.expected_us(pending):
             return False
-        attempt.mark_judged()
+        attempt.mark_result_recorded()
         self._record_failure(tracked, attempt, now_us)
         if attempt.is_class_probe or self._is_silent(tracked, pending, attempt, now_us):
             self._record_class_failure(tracked, pending, attempt, now_us)
--- a/http_gateway/policy/pending_request.py
+++ b/http_gateway/policy/pending_request.py
@@ -37,7 +37,7 @@
         """Record how the attempt ended."""
         self.outcome = outcome
 
-    def mark_judged(self) -> None:
+    def mark_result_recorded(self) -> None:
         """Note that the success or failure of the attempt has been recorded for its endpoint."""
         self.is_result_recorded = True
 
