--- a/tests/support/fleet/gateway_member.py
+++ b/tests/support/fleet/gateway_member.py
@@ -14,7 +14,7 @@
 from tests.support.fleet.event_queue import EventQueue
 from tests.support.fleet.plan import FleetPlan
 from tests.support.fleet.simulated_endpoint import Arrival, SimulatedEndpoint
-from tests.support.policy_driver import DrivenAttempt, PolicyDriver
+from tests.support.policy_driver import AttemptRecord, PolicyDriver
 
 REJECTION_LATENCY_US = US_PER_MS  # of an endpoint that is full, or gone
 MAX_REMEMBERED_ATTEMPTS = 100
@@ -109,7 +109,7 @@
             self._driver.fire_timer(self._events.now_us, token)
             self._execute_actions()
 
-    def _connect(self, attempt: DrivenAttempt) -> None:
+    def _connect(self, attempt: AttemptRecord) -> None:
         """Send an attempt.
 
         Until a connection to an incarnation of an endpoint is up, each attempt opens one, which takes time.
@@ -124,7 +124,7 @@
         was_notified = self._list_version >= simulated.list_version
         self._events.schedule(delay_us, partial(self._arrive, attempt, simulated, was_notified))
 
-    def _arrive(self, attempt: DrivenAttempt, simulated: SimulatedEndpoint, was_notified: bool) -> None:
+    def _arrive(self, attempt: AttemptRecord, simulated: SimulatedEndpoint, was_notified: bool) -> None:
         if not self._is_running or attempt.outcome is not None:
             return
         if not simulated.is_running:
@@ -139,13 +139,13 @@
         else:
             self._events.schedule(response_at_us - now_us, partial(self._respond, attempt, simulated))
 
-    def _respond(self, attempt: DrivenAttempt, simulated: SimulatedEndpoint) -> None:
+    def _respond(self, attempt: AttemptRecord, simulated: SimulatedEndpoint) -> None:
         self._end(attempt, Outcome.OK if simulated.is_running else Outcome.RESET)
 
-    def _end_after(self, delay_us: int, attempt: DrivenAttempt, outcome: Outcome) -> None:
+    def _end_after(self, delay_us: int, attempt: AttemptRecord, outcome: Outcome) -> None:
         self._events.schedule(delay_us, partial(self._end, attempt, outcome))
 
-    def _end(self, attempt: DrivenAttempt, outcome: Outcome) -> None:
+    def _end(self, attempt: AttemptRecord, outcome: Outcome) -> None:
         if self._is_running and attempt.outcome is None:
             self._driver.advance_to(self._events.now_us)
             self._driver.end_attempt(attempt, outcome)
--- a/tests/support/policy_driver.py
+++ b/tests/support/policy_driver.py
@@ -95,7 +95,7 @@
 
 
 @dataclass
-class DrivenAttempt:
+class AttemptRecord:
     """An attempt that the policy has started."""
 
     request_id: RequestId
@@ -129,14 +129,14 @@
     seed: int = 1
     classes: tuple[RequestClass, ...] = CLASSES
     now_us: int = 100 * US_PER_S
-    attempts: list[DrivenAttempt] = field(default_factory=list)
+    attempts: list[AttemptRecord] = field(default_factory=list)
     unanswered: dict[RequestId, UnansweredRequest] = field(default_factory=dict)
     answers: dict[RequestId, list[FinalAnswer]] = field(default_factory=dict)
     class_names: dict[RequestId, str] = field(default_factory=dict)
     notified: NotifiedEndpoints = field(default_factory=NotifiedEndpoints)
     timers: list[Timer] = field(default_factory=list)
     watch_requests: int = 0
-    _new_attempts: list[DrivenAttempt] = field(default_factory=list)
+    _new_attempts: list[AttemptRecord] = field(default_factory=list)
 
     def __post_init__(self) -> None:
         self.balancer = Balancer(self.settings, self.seed)
@@ -233,7 +233,7 @@
 
     def serve_request(
         self, request_class: RequestClass = READ, latency_us: int = 30 * US_PER_MS
-    ) -> DrivenAttempt:
+    ) -> AttemptRecord:
         """Send a request, let its first attempt succeed after a latency, and return that attempt."""
         attempt = self.in_flight(self.send_request(request_class))[0]
         self.advance(latency_us)
@@ -242,7 +242,7 @@
 
     def end_attempt(
         self,
-        attempt: DrivenAttempt,
+        attempt: AttemptRecord,
         outcome: Outcome = Outcome.OK,
         load_report: Mapping[str, float] | None = None,
     ) -> list[Action]:
@@ -264,7 +264,7 @@
             )
         )
 
-    def start_stream(self, attempt: DrivenAttempt) -> list[Action]:
+    def start_stream(self, attempt: AttemptRecord) -> list[Action]:
         """Start to stream the response of an attempt to the client."""
         return self.feed(
             ResponseStreamStarted(
@@ -280,11 +280,11 @@
 
     # Attempts
 
-    def attempts_of(self, request_id: RequestId) -> list[DrivenAttempt]:
+    def attempts_of(self, request_id: RequestId) -> list[AttemptRecord]:
         """Return the attempts of a request in starting order."""
         return [attempt for attempt in self.attempts if attempt.request_id == request_id]
 
-    def in_flight(self, request_id: RequestId | None = None) -> list[DrivenAttempt]:
+    def in_flight(self, request_id: RequestId | None = None) -> list[AttemptRecord]:
         """Return the attempts in flight of one request, or of all requests if no id is given."""
         return [
             attempt
@@ -292,7 +292,7 @@
             if attempt.outcome is None and request_id in (None, attempt.request_id)
         ]
 
-    def take_new_attempts(self) -> list[DrivenAttempt]:
+    def take_new_attempts(self) -> list[AttemptRecord]:
         """Return the attempts that were started since the previous call of this method."""
         taken, self._new_attempts = self._new_attempts, []
         return taken
@@ -349,7 +349,7 @@
         self.notified.assert_ready(action.endpoint_id)
         assert_attempt_allowed(self.settings, earlier)
         assert_not_executed_twice(action, self._class_of(request), earlier, self.notified, self.now_us)
-        attempt = DrivenAttempt(
+        attempt = AttemptRecord(
             action.request_id,
             len(earlier),
             action.endpoint_id,
