--- a/tests/support/fleet/gateway_member.py
+++ b/tests/support/fleet/gateway_member.py
@@ -76,7 +76,7 @@
         """Have a client send a request of random work."""
         plan, driver = self._simulation.plan, self._driver
         driver.advance_to(self._events.now_us)
-        driver.forget_completed(MAX_REMEMBERED_ATTEMPTS)
+        driver.discard_completed(MAX_REMEMBERED_ATTEMPTS)
         work = self._simulation.random.uniform(1 - plan.work_spread, 1 + plan.work_spread)
         cost_us = max(1, round(plan.mean_cost_us * work))
         request_id = driver.send_request(plan.request_class, plan.timeout_us, cost_us)
--- a/tests/support/policy_driver.py
+++ b/tests/support/policy_driver.py
@@ -302,7 +302,7 @@
         taken, self.timers = self.timers, []
         return taken
 
-    def forget_completed(self, max_attempts: int) -> None:
+    def discard_completed(self, max_attempts: int) -> None:
         """Remove the attempts of completed requests once there are more than `max_attempts` attempts.
 
         Many methods search all attempts, so a long simulation would slow down without this.
