--- a/tests/support/fleet/stepped_fleet.py
+++ b/tests/support/fleet/stepped_fleet.py
@@ -108,7 +108,7 @@
             driver.send_request(cost_us=COST_US)
             for attempt in driver.in_flight():
                 driver.end_attempt(attempt, self._respond(gateway_index, attempt.endpoint_id))
-            driver.forget_everything_started()
+            driver.discard_attempts_and_timers()
 
     def _respond(self, gateway_index: int, endpoint_id: EndpointId) -> Outcome:
         endpoint = next(endpoint for endpoint in self._endpoints if endpoint.id == endpoint_id)
--- a/tests/support/policy_driver.py
+++ b/tests/support/policy_driver.py
@@ -315,7 +315,7 @@
                 if attempt.request_id in busy or attempt.request_id in self.unanswered
             ]
 
-    def forget_everything_started(self) -> None:
+    def discard_attempts_and_timers(self) -> None:
         """Remove all attempts and timers; the attempts in flight then never end."""
         self.attempts.clear()
         self._new_attempts.clear()
