--- a/tests/integration/test_retry_deadlines.py
+++ b/tests/integration/test_retry_deadlines.py
@@ -24,8 +24,8 @@
 )
 from tests.support.retries import (
     ADD_ANYWHERE,
-    ADD_IN_GROUP,
     DEDUPLICATION_WINDOW_S,
+    GROUP_SCOPE_CLASS,
     KEY_HEADERS,
     RETRY_SETTINGS,
     prefer_endpoints,
@@ -34,7 +34,7 @@
 from tests.support.upstream import DelayedConnects
 
 
-@pytest.mark.parametrize("request_class", [ADD_IN_GROUP, ADD_ANYWHERE])
+@pytest.mark.parametrize("request_class", [GROUP_SCOPE_CLASS, ADD_ANYWHERE])
 @async_test
 async def test_retry_whose_connect_outlasts_the_window_is_not_sent(
     monkeypatch: pytest.MonkeyPatch, request_class: RequestClass
@@ -71,7 +71,7 @@
 async def test_retry_within_the_window_is_sent_after_a_slow_connect(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    long_window = replace(ADD_IN_GROUP, deduplication_window_us=60_000 * US_PER_MS)
+    long_window = replace(GROUP_SCOPE_CLASS, deduplication_window_us=60_000 * US_PER_MS)
     async with (
         start_peers(reset_connection, respond_with()) as (first, other),
         running_gateway(
@@ -84,7 +84,7 @@
         prefer_endpoints(gateway, first, other)
         connects = DelayedConnects(monkeypatch, other)
         asyncio.get_running_loop().call_later(2 * DEDUPLICATION_WINDOW_S, connects.allow.set)
-        client, response = await request_with_key(gateway, ADD_IN_GROUP)
+        client, response = await request_with_key(gateway, GROUP_SCOPE_CLASS)
         assert response.status == 200
         client.close()
 
@@ -106,7 +106,7 @@
         ) as gateway,
     ):
         prefer_endpoints(gateway, first, other)
-        client, response = await request_with_key(gateway, ADD_IN_GROUP)
+        client, response = await request_with_key(gateway, GROUP_SCOPE_CLASS)
         assert response.status == 200
         assert [len(first.requests), len(other.requests)] == [1, 1]
         client.close()
@@ -127,10 +127,10 @@
         ) as gateway,
     ):
         prefer_endpoints(gateway, first, other)
-        gateway.balancer._latency._median_per_cost[ADD_IN_GROUP.name] = 10 * US_PER_MS
+        gateway.balancer._latency._median_per_cost[GROUP_SCOPE_CLASS.name] = 10 * US_PER_MS
         connects = DelayedConnects(monkeypatch, first)
         client = await gateway.connect()
-        client.writer.write(request_bytes(ADD_IN_GROUP.name, KEY_HEADERS))
+        client.writer.write(request_bytes(GROUP_SCOPE_CLASS.name, KEY_HEADERS))
         await wait_until(lambda: other.requests)
         (request,) = gateway.dispatcher._requests.values()
         await wait_until(lambda: request.attempts[0].has_ended)
--- a/tests/support/retries.py
+++ b/tests/support/retries.py
@@ -12,7 +12,7 @@
 
 DEDUPLICATION_WINDOW_US = 300 * US_PER_MS
 DEDUPLICATION_WINDOW_S = DEDUPLICATION_WINDOW_US / US_PER_S
-ADD_IN_GROUP = RequestClass(
+GROUP_SCOPE_CLASS = RequestClass(
     "chapter-add",
     400 * US_PER_MS,
     20_000 * US_PER_MS,
@@ -20,9 +20,9 @@
     DeduplicationScope.GROUP,
     DEDUPLICATION_WINDOW_US,
 )
-ADD_ANYWHERE = replace(ADD_IN_GROUP, name="chapter-put", deduplication_scope=DeduplicationScope.ALL)
+ADD_ANYWHERE = replace(GROUP_SCOPE_CLASS, name="chapter-put", deduplication_scope=DeduplicationScope.ALL)
 RETRY_SETTINGS = Settings(
-    (ADD_IN_GROUP, ADD_ANYWHERE), max_attempts=5, hedging_allowed=True, cancellation_allowed=True
+    (GROUP_SCOPE_CLASS, ADD_ANYWHERE), max_attempts=5, hedging_allowed=True, cancellation_allowed=True
 )
 KEY_HEADERS = {"Idempotency-Key": "5c0f"}
 
