--- a/tests/integration/test_retry_deadlines.py
+++ b/tests/integration/test_retry_deadlines.py
@@ -23,7 +23,7 @@
     wait_until,
 )
 from tests.support.retries import (
-    ADD_ANYWHERE,
+    ALL_SCOPE_CLASS,
     DEDUPLICATION_WINDOW_S,
     GROUP_SCOPE_CLASS,
     KEY_HEADERS,
@@ -34,7 +34,7 @@
 from tests.support.upstream import DelayedConnects
 
 
-@pytest.mark.parametrize("request_class", [GROUP_SCOPE_CLASS, ADD_ANYWHERE])
+@pytest.mark.parametrize("request_class", [GROUP_SCOPE_CLASS, ALL_SCOPE_CLASS])
 @async_test
 async def test_retry_whose_connect_outlasts_the_window_is_not_sent(
     monkeypatch: pytest.MonkeyPatch, request_class: RequestClass
--- a/tests/support/retries.py
+++ b/tests/support/retries.py
@@ -20,9 +20,9 @@
     DeduplicationScope.GROUP,
     DEDUPLICATION_WINDOW_US,
 )
-ADD_ANYWHERE = replace(GROUP_SCOPE_CLASS, name="chapter-put", deduplication_scope=DeduplicationScope.ALL)
+ALL_SCOPE_CLASS = replace(GROUP_SCOPE_CLASS, name="chapter-put", deduplication_scope=DeduplicationScope.ALL)
 RETRY_SETTINGS = Settings(
-    (GROUP_SCOPE_CLASS, ADD_ANYWHERE), max_attempts=5, hedging_allowed=True, cancellation_allowed=True
+    (GROUP_SCOPE_CLASS, ALL_SCOPE_CLASS), max_attempts=5, hedging_allowed=True, cancellation_allowed=True
 )
 KEY_HEADERS = {"Idempotency-Key": "5c0f"}
 
