--- a/http_gateway/policy/actions.py
+++ b/http_gateway/policy/actions.py
@@ -37,7 +37,7 @@
 
 
 class FailRequest(NamedTuple):
-    """Report failure as the final answer to a request, which was possibly executed."""
+    """Report failure as the final answer to a request, which may or may not have been executed."""
 
     request_id: RequestId
 
--- a/http_gateway/policy/events.py
+++ b/http_gateway/policy/events.py
@@ -15,11 +15,11 @@
 
     OK = "ok"
     ERROR = "error"  # the endpoint answered with an error response
-    REJECTED = "rejected"  # the endpoint refused it unexecuted: its queue is full, or it is draining
+    REJECTED = "rejected"  # refused without execution: the endpoint has a full queue or is draining
     TIMEOUT = "timeout"
     CONNECT_FAILED = "connect failed"
     RESET = "reset"  # the connection broke while the attempt was in flight
-    CANCELLED = "cancelled"  # the gateway stopped waiting for it
+    CANCELLED = "cancelled"  # the gateway stopped waiting for the response
     NOT_SENT = "not sent"
     UNKNOWN = "unknown"  # any other result; the request was possibly executed
 
@@ -35,7 +35,7 @@
 class ListUpdateKind(Enum):
     """Which endpoints an `EndpointListUpdate` contains."""
 
-    COMPLETE = "complete"  # every endpoint that exists; endpoints not contained are removed
+    COMPLETE = "complete"  # every endpoint that exists
     CACHED = "cached"  # every endpoint that the gateway knew before it restarted
     DELTA = "delta"  # only the endpoints that have changed
     FAILED = "failed"  # none: a call to discovery failed, or a watch ended
--- a/http_gateway/policy/pending_request.py
+++ b/http_gateway/policy/pending_request.py
@@ -17,7 +17,8 @@
     started_at_us: int
     is_probe: bool = False  # the half-open probe of the endpoint's circuit breaker
     is_class_probe: bool = False  # the half-open probe of the endpoint's breaker for this request class
-    # Its success or failure was recorded for the endpoint while it was in flight, so its end is not.
+    # The success or failure of the attempt was recorded for its endpoint while it was in flight. Its end is
+    # then not recorded a second time.
     is_result_recorded: bool = False
     is_streaming: bool = False  # its response is being streamed to the client, so it is not cancelled
     reserved_cost_us: float = 0.0  # taken from the endpoint's slow start token bucket; 0 if it is warm
--- a/http_gateway/policy/retry_budget.py
+++ b/http_gateway/policy/retry_budget.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-TOKENS_PER_REQUEST = 0.1  # so in the long run at most one tenth of a paid retry for each request
+TOKENS_PER_REQUEST = 0.1  # in the long run, at most one retry from the budget for every ten requests
 MAX_FLEET_TOKENS = 20.0  # capacity of the budgets of all gateways together
 
 
