--- a/http_gateway/policy/circuit_breaker.py
+++ b/http_gateway/policy/circuit_breaker.py
@@ -1,4 +1,4 @@
-"""Circuit breakers of one endpoint: one for all its requests, and one for each request class."""
+"""Circuit breakers of an endpoint: one for all its requests, and one for each request class."""
 
 from __future__ import annotations
 
@@ -7,21 +7,24 @@
 
 from http_gateway.policy.time_units import US_PER_S
 
-FAILURE_WINDOW_US = 60 * US_PER_S  # older failures are forgotten
-FAILURE_THRESHOLD = 3  # failures that open a breaker
+FAILURE_WINDOW_US = 60 * US_PER_S  # A failure stops counting after this time.
+FAILURE_THRESHOLD = 3  # This number of failures within the failure window opens a breaker.
 BASE_COOLDOWN_US = US_PER_S // 4
 MAX_COOLDOWN_US = 20 * US_PER_S
-# The endpoint serves all other classes meanwhile, and a probe costs one request.
+# The breaker of a request class probes more often than the breaker of the whole endpoint. The endpoint still
+# serves all other classes during the cooldown, and a probe costs only one request.
 MAX_CLASS_COOLDOWN_US = 4 * US_PER_S
-COOLDOWN_JITTER = 0.15
-SUCCESSES_PER_FORGIVEN_FAILURE = 2  # so a class breaker opens where more than a third of its requests fail
+COOLDOWN_JITTER = 0.15  # The jitter changes a cooldown by at most this fraction, up or down.
+# With 2 successes for each cleared failure, a class breaker opens if more than a third of its requests fail.
+SUCCESSES_PER_CLEARED_FAILURE = 2
 
 
 class CircuitBreaker:
-    """A breaker of three states.
+    """A circuit breaker with the states closed, open and half-open.
 
-    Closed, it admits every request. Open, it admits none until a jittered cooldown ends. Then it is half-open
-    and admits one probe request: success closes it, failure opens it for twice as long, up to a cap.
+    A closed breaker admits every request. An open breaker admits none until a jittered cooldown ends, which
+    makes it half-open. A half-open breaker admits one probe request. If the probe succeeds, the breaker
+    closes; if the probe fails, the breaker opens again with twice the cooldown, up to a maximum.
     """
 
     def __init__(self, random: Random, max_cooldown_us: int = MAX_COOLDOWN_US) -> None:
@@ -29,31 +32,31 @@
         self._max_cooldown_us = max_cooldown_us
         self._cooldown_us = BASE_COOLDOWN_US
         self._failures_at_us: deque[int] = deque()
-        self._half_open_at_us: int | None = None  # end of the cooldown; None while closed
+        self._half_open_at_us: int | None = None  # The end of the cooldown; None while the breaker is closed.
         self._probe_in_flight = False
 
     @property
     def is_closed(self) -> bool:
-        """Whether it admits every request."""
+        """Whether the breaker is closed, that is, admits every request."""
         return self._half_open_at_us is None
 
     def admits(self, now_us: int) -> bool:
-        """Whether a request may be sent now."""
+        """Return whether a request may be sent now."""
         if self._half_open_at_us is None:
             return True
         return now_us >= self._half_open_at_us and not self._probe_in_flight
 
     def start_attempt(self) -> bool:
-        """Record an attempt that was admitted; return whether it is the half-open probe."""
+        """Record the start of an admitted attempt; return whether the attempt is the half-open probe."""
         self._probe_in_flight = self._half_open_at_us is not None
         return self._probe_in_flight
 
     def abandon_probe(self) -> None:
-        """Free the probe's slot without a verdict."""
+        """Allow another probe after one that ended as neither a success nor a failure."""
         self._probe_in_flight = False
 
     def record_success(self, is_probe: bool) -> None:
-        """Count a successful attempt."""
+        """Record a successful attempt."""
         if self.is_closed:
             self._failures_at_us.clear()
         elif is_probe:
@@ -62,7 +65,7 @@
             self._cooldown_us = BASE_COOLDOWN_US
 
     def record_failure(self, now_us: int, is_probe: bool) -> None:
-        """Count a failed attempt."""
+        """Record a failed attempt."""
         if is_probe:
             self._cooldown_us = min(2 * self._cooldown_us, self._max_cooldown_us)
             self._open(now_us)
@@ -84,45 +87,52 @@
 
 
 class RequestClassBreaker(CircuitBreaker):
-    """The breaker of one request class at one endpoint, which may fail that class and serve all others.
+    """The circuit breaker of one request class at one endpoint.
 
-    Successes of other classes do not reach it, and its own clear failures only one by one: after a good probe
-    the next failure opens it again, and the cooldown is reset once no failure remains. It covers any fault
-    that follows the class of a request, wholly or in part. It does harm where a class fails the same way at
-    every endpoint; the caller therefore limits how many of them are open at a time.
+    An endpoint can fail requests of one class, all or some of them, and serve all other classes. Successes of
+    other classes therefore do not affect this breaker, and successes of its own class clear failures only one
+    at a time. After a successful probe the next failure opens the breaker again, and the cooldown is reset
+    only once no failure is left.
+
+    If a class fails in the same way at every endpoint, these breakers do harm by excluding all endpoints. The
+    caller therefore limits how many of them are open at the same time.
     """
 
     def __init__(self, random: Random) -> None:
         super().__init__(random, MAX_CLASS_COOLDOWN_US)
-        self._uncredited_successes = 0  # that have not cleared a failure yet
-        self._unanswered_in_a_row = 0
+        self._successes_since_clearing = 0  # successes since a failure was last cleared
+        self._consecutive_unanswered = 0
         self.last_response_at_us = 0
 
     def record_response(self, now_us: int, is_probe: bool) -> None:
-        """Count a response, also a late one: it shows that the endpoint is not silent on this class."""
-        unanswered = self._unanswered_in_a_row
-        self._unanswered_in_a_row = 0
+        """Record a response of this class.
+
+        A late response counts too, because it shows that the endpoint does answer this class.
+        """
+        unanswered = self._consecutive_unanswered
+        self._consecutive_unanswered = 0
         self.last_response_at_us = now_us
         if self.is_closed:
-            self._uncredited_successes += 1
-            if self._uncredited_successes >= SUCCESSES_PER_FORGIVEN_FAILURE:
-                self._forgive_failure()
+            self._successes_since_clearing += 1
+            if self._successes_since_clearing >= SUCCESSES_PER_CLEARED_FAILURE:
+                self._clear_failure()
         elif is_probe or unanswered >= FAILURE_THRESHOLD:
-            # For the next time that it opens, unless no failure remains by then.
+            # The longer cooldown applies the next time that the breaker opens. If no failure is left by then,
+            # the cooldown has been reset to the base cooldown.
             self._cooldown_us = min(2 * self._cooldown_us, self._max_cooldown_us)
-            self._forgive_failure()
+            self._clear_failure()
             self._close()
 
     def record_unanswered(self, now_us: int, is_probe: bool) -> None:
-        """Count an attempt without a response, during which no other of its class got one."""
-        self._unanswered_in_a_row += 1
+        """Record an attempt that got no response while no other attempt of its class got one either."""
+        self._consecutive_unanswered += 1
         if is_probe:
             self.record_failure(now_us, is_probe)
-        elif self.is_closed and self._unanswered_in_a_row >= FAILURE_THRESHOLD:
+        elif self.is_closed and self._consecutive_unanswered >= FAILURE_THRESHOLD:
             self._open(now_us)
 
-    def _forgive_failure(self) -> None:
-        self._uncredited_successes = 0
+    def _clear_failure(self) -> None:
+        self._successes_since_clearing = 0
         if self._failures_at_us:
             self._failures_at_us.pop()
         if not self._failures_at_us:
--- a/tests/unit/policy/test_circuit_breaker.py
+++ b/tests/unit/policy/test_circuit_breaker.py
@@ -1,4 +1,4 @@
-"""Every transition of the circuit breaker."""
+"""State transitions of the circuit breaker."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @pytest.fixture
 def breaker() -> CircuitBreaker:
-    """A closed breaker."""
+    """Return a closed breaker."""
     return CircuitBreaker(Random(1))
 
 
@@ -30,7 +30,7 @@
 
 
 def cooldown_us(breaker: CircuitBreaker, now_us: int) -> int:
-    """How long an open breaker admits nothing from now on."""
+    """Return the time from now until an open breaker admits a request, found by binary search."""
     low, high = 0, 2 * MAX_COOLDOWN_US
     while low < high:
         middle = (low + high) // 2
@@ -42,7 +42,7 @@
 
 
 def start_probe(breaker: CircuitBreaker, now_us: int) -> int:
-    """Start the half-open probe of an open breaker; return its moment."""
+    """Start the probe of an open breaker at the end of its cooldown; return the time of the start."""
     now_us += cooldown_us(breaker, now_us)
     assert breaker.start_attempt()
     return now_us
@@ -124,8 +124,10 @@
     assert breaker.admits(now_us)
 
 
-def test_open_breaker_ignores_failures_of_attempts_from_before_it_opened(breaker: CircuitBreaker) -> None:
+def test_open_breaker_ignores_failures_of_attempts_that_started_before_it_opened(
+    breaker: CircuitBreaker,
+) -> None:
     record_failures(breaker, NOW_US)
-    before_us = cooldown_us(breaker, NOW_US)
+    cooldown_before_us = cooldown_us(breaker, NOW_US)
     record_failures(breaker, NOW_US + 1)
-    assert cooldown_us(breaker, NOW_US) == before_us
+    assert cooldown_us(breaker, NOW_US) == cooldown_before_us
