--- a/http_gateway/policy/outlier_detection.py
+++ b/http_gateway/policy/outlier_detection.py
@@ -1,4 +1,4 @@
-"""Outlier detection: which attempts count as failures of their endpoint, or of a request class there."""
+"""Outlier detection: which attempts count as failures of an endpoint or of a request class there."""
 
 from __future__ import annotations
 
@@ -8,43 +8,49 @@
 from http_gateway.policy.pending_request import Attempt, PendingRequest
 from http_gateway.policy.tracked_endpoint import TrackedEndpoint
 
-# No closed breaker counts a failure while this fraction of them is open: a fault that all endpoints share
-# must not keep the gateway from work that they can do.
+# Closed breakers ignore failures while at least this fraction of all endpoint breakers is open. Otherwise a
+# fault that all endpoints share would exclude endpoints that can still do useful work.
 MAX_OPEN_FRACTION = 0.5
-MAX_CLASS_OPEN_FRACTION = 0.75  # likewise of the breakers of a class; the endpoints still serve the others
+# The same limit for the breakers of one request class. It is higher because an endpoint with an open class
+# breaker still serves the other classes.
+MAX_CLASS_OPEN_FRACTION = 0.75
 
-SLOW_ATTEMPT_FACTOR = 2.5  # an attempt in flight for this multiple of its expected latency is slow
+SLOW_ATTEMPT_FACTOR = 2.5  # An attempt in flight for this multiple of its expected latency is slow.
 
-# A time-out is no failure: the client's own limit cut it short. Slow attempts are detected before.
-FAILURES = frozenset(
+# A timeout is not a failure, because the client's own time limit ended the attempt. An endpoint that is too
+# slow is detected earlier, by its slow attempts.
+FAILURE_OUTCOMES = frozenset(
     {Outcome.ERROR, Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.RESET, Outcome.UNKNOWN}
 )
-# Failed connections are a fault of the endpoint or the network, not of the request class.
-CLASS_FAILURES = frozenset({Outcome.ERROR, Outcome.REJECTED, Outcome.UNKNOWN})
-_UNANSWERED = frozenset({None, Outcome.TIMEOUT, Outcome.CANCELLED})  # in flight, or given up while it was
+# A failed or reset connection is a fault of the endpoint or the network, not of the request class.
+CLASS_FAILURE_OUTCOMES = frozenset({Outcome.ERROR, Outcome.REJECTED, Outcome.UNKNOWN})
+# Outcomes of attempts without a response: still in flight (None), timed out or cancelled.
+_UNANSWERED_OUTCOMES = frozenset({None, Outcome.TIMEOUT, Outcome.CANCELLED})
 
 
 class OutlierDetector:
-    """Charges failed and slow attempts to the breakers of their endpoints."""
+    """Records failed and slow attempts at the circuit breakers of their endpoints."""
 
     def __init__(self, endpoints: EndpointSet, latency: LatencyEstimate) -> None:
         self._endpoints = endpoints
         self._latency = latency
 
     def slow_attempt_timeout_us(self, pending: PendingRequest) -> int:
-        """The time after which an attempt of this request that is still in flight is slow."""
+        """Return the time after which an attempt of this request counts as slow if still in flight."""
         return max(1, round(SLOW_ATTEMPT_FACTOR * self._latency.expected_us(pending)))
 
     def record_end(
         self, tracked: TrackedEndpoint, pending: PendingRequest, attempt: Attempt, now_us: int
     ) -> None:
-        """Judge an attempt by how it ended."""
-        if attempt.outcome in FAILURES:
+        """Record an attempt that has ended at the breakers, by its outcome."""
+        if attempt.outcome in FAILURE_OUTCOMES:
             tracked.load.record_failure(now_us)
             self._record_failure(tracked, attempt, now_us)
         elif attempt.is_probe and attempt.outcome is not Outcome.OK:
             tracked.breaker.abandon_probe()
-        if attempt.outcome in CLASS_FAILURES or self._is_silent(tracked, pending, attempt, now_us):
+        if attempt.outcome in CLASS_FAILURE_OUTCOMES or self._is_unresponsive(
+            tracked, pending, attempt, now_us
+        ):
             self._record_class_failure(tracked, pending, attempt, now_us)
         elif attempt.is_class_probe and attempt.outcome is not Outcome.OK:
             tracked.class_breaker(pending.request_class).abandon_probe()
@@ -52,27 +58,30 @@
     def record_if_slow(
         self, tracked: TrackedEndpoint, pending: PendingRequest, attempt: Attempt, now_us: int
     ) -> bool:
-        """Judge an attempt in flight if it is slow by the present estimate; return whether it is.
+        """Record an attempt in flight as failed if it is slow; return whether it is.
 
-        If the estimate has grown since the attempt started there is no second look later.
+        The current latency estimate decides. If the estimate has grown since the attempt started, the attempt
+        may not be slow yet, and it is not checked again later.
         """
         elapsed_us = now_us - attempt.started_at_us
         if elapsed_us < SLOW_ATTEMPT_FACTOR * self._latency.expected_us(pending):
             return False
         attempt.mark_judged()
         self._record_failure(tracked, attempt, now_us)
-        if attempt.is_class_probe or self._is_silent(tracked, pending, attempt, now_us):
+        if attempt.is_class_probe or self._is_unresponsive(tracked, pending, attempt, now_us):
             self._record_class_failure(tracked, pending, attempt, now_us)
         return True
 
-    def _is_silent(
+    def _is_unresponsive(
         self, tracked: TrackedEndpoint, pending: PendingRequest, attempt: Attempt, now_us: int
     ) -> bool:
-        """Whether the endpoint left an attempt unanswered and answered none of its class meanwhile.
+        """Return whether the endpoint has answered no request of the class since the attempt started.
 
-        Clients that disconnect early must not hide that: each of them makes a silent endpoint look idle.
+        Only an attempt without a response that lasted at least its expected latency counts as evidence.
+        Attempts that ended because the client disconnected count as well: each disconnect frees a place at
+        the endpoint, so an unresponsive endpoint would otherwise look idle and attract more requests.
         """
-        if attempt.outcome not in _UNANSWERED:
+        if attempt.outcome not in _UNANSWERED_OUTCOMES:
             return False
         if now_us - attempt.started_at_us < self._latency.expected_us(pending):
             return False
@@ -93,7 +102,7 @@
         if not attempt.is_class_probe and open_breakers >= MAX_CLASS_OPEN_FRACTION * len(endpoints):
             return
         breaker = tracked.class_breaker(request_class)
-        if attempt.outcome in CLASS_FAILURES:
+        if attempt.outcome in CLASS_FAILURE_OUTCOMES:
             breaker.record_failure(now_us, attempt.is_class_probe)
         else:
             breaker.record_unanswered(now_us, attempt.is_class_probe)
--- a/tests/unit/policy/test_outlier_detection.py
+++ b/tests/unit/policy/test_outlier_detection.py
@@ -1,4 +1,4 @@
-"""When an attempt in flight counts as slow."""
+"""Outlier detection of slow attempts while they are in flight."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from tests.support.policy_driver import FinalAnswer, PolicyDriver
 
 
-def test_silent_endpoint_is_ejected_before_its_attempts_time_out() -> None:
+def test_unresponsive_endpoint_is_ejected_before_its_attempts_time_out() -> None:
     driver = PolicyDriver(endpoint_count=1)
     for _ in range(60):
         driver.serve_request(latency_us=20 * US_PER_MS)
