--- a/http_gateway/policy/concurrency_limit.py
+++ b/http_gateway/policy/concurrency_limit.py
@@ -1,4 +1,4 @@
-"""The adaptive limit of attempts in flight at one endpoint (additive increase, multiplicative decrease)."""
+"""Adaptive limit of the attempts in flight at one endpoint (additive increase, multiplicative decrease)."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class ConcurrencyLimit:
-    """Attempts in flight at an endpoint and how many there may be."""
+    """The number of attempts in flight at an endpoint, and its limit."""
 
     __slots__ = ("decreased_at_us", "in_flight", "limit")
 
@@ -32,18 +32,22 @@
         self.in_flight += 1
 
     def end_attempt(self) -> None:
-        """Count an attempt that has ended."""
+        """Stop counting an attempt that has ended."""
         self.in_flight = max(0, self.in_flight - 1)
 
     def increase(self) -> None:
-        """Raise the limit after a response in time, if it is nearly reached."""
+        """Raise the limit after a response in time.
+
+        The limit rises only while at least half of it, less one attempt, is in use.
+        """
         if 2 * self.in_flight >= self.limit - 2:
             self.limit += min(self.limit, 1 / self.limit)
 
     def decrease(self, attempt_started_at_us: int, now_us: int) -> None:
-        """Lower the limit after a sign of overload.
+        """Lower the limit after an attempt that indicates overload.
 
-        One stall delays every attempt in flight, so attempts from before the last decrease do not count.
+        A single stall delays every attempt in flight. Attempts that started before the last decrease are
+        therefore ignored, so that one stall lowers the limit only once.
         """
         if attempt_started_at_us >= self.decreased_at_us:
             self.limit = max(MIN_LIMIT, self.limit * DECREASE_FACTOR)
--- a/tests/unit/policy/test_concurrency_limit.py
+++ b/tests/unit/policy/test_concurrency_limit.py
@@ -1,4 +1,4 @@
-"""The adaptive limit of attempts in flight at one endpoint."""
+"""Adaptive limit of the attempts in flight at one endpoint."""
 
 from __future__ import annotations
 
@@ -17,18 +17,18 @@
     assert concurrency.has_capacity
 
 
-def test_attempts_in_flight_never_fall_below_zero() -> None:
+def test_in_flight_count_never_falls_below_zero() -> None:
     concurrency = ConcurrencyLimit()
     concurrency.end_attempt()
     assert concurrency.in_flight == 0
 
 
-def test_limit_is_under_half_used_up_to_half_of_it() -> None:
+def test_limit_is_under_half_used_below_half_of_it() -> None:
     assert ConcurrencyLimit(in_flight=3, limit=8.0).is_under_half_used
     assert not ConcurrencyLimit(in_flight=4, limit=8.0).is_under_half_used
 
 
-def test_increase_needs_a_limit_that_is_nearly_reached() -> None:
+def test_increase_requires_about_half_of_the_limit_in_use() -> None:
     unused, used = ConcurrencyLimit(in_flight=2, limit=8.0), ConcurrencyLimit(in_flight=3, limit=8.0)
     unused.increase()
     used.increase()
@@ -46,7 +46,7 @@
     assert concurrency.has_capacity
 
 
-def test_attempts_from_before_the_last_decrease_do_not_count() -> None:
+def test_decrease_ignores_attempts_that_started_before_the_last_decrease() -> None:
     concurrency = ConcurrencyLimit()
     concurrency.decrease(attempt_started_at_us=10, now_us=20)
     concurrency.decrease(attempt_started_at_us=19, now_us=30)
