--- a/http_gateway/policy/load_shedding.py
+++ b/http_gateway/policy/load_shedding.py
@@ -1,4 +1,4 @@
-"""Load shedding: which requests a gateway answers at once because its endpoints are overloaded."""
+"""Load shedding: which requests a gateway rejects at once because its endpoints are overloaded."""
 
 from __future__ import annotations
 
@@ -9,40 +9,42 @@
 from http_gateway.policy.settings import RequestClass
 from http_gateway.policy.time_units import US_PER_S
 
-# Late responses for this long reduce what is admitted to about a third.
+# Late responses over this period reduce the admitted fraction to about a third; timely ones restore it fully.
 SHED_TIME_CONSTANT_US = US_PER_S // 2
-# A signal stands for the time since the last one, but for no more than this.
+# A load signal is weighted by the time since the previous signal, up to this maximum. It is also the longest
+# time that load shedding lasts without admitting a request.
 MAX_SIGNAL_AGE_US = US_PER_S // 4
 
 
 class TrafficClass(NamedTuple):
-    """Requests that are admitted or shed alike."""
+    """Requests that load shedding treats alike: one request class, either within or over tenant quotas."""
 
     class_name: str
     is_over_quota: bool
 
 
 class LoadShedder:
-    """Admits a fraction of the offered work, the part with the least weight for its cost last.
+    """Admits a fraction of the offered cost and sheds the requests with the least weight per cost first.
 
-    Overload shows in the gateway's own responses. Signals are weighted by time rather than counted, so that
-    one gateway with all the traffic and one of hundreds react alike.
+    Overload is detected from the responses that the gateway itself receives. Load signals are weighted by
+    time, not counted. A gateway that receives all the traffic and one of hundreds therefore react equally
+    fast.
     """
 
     def __init__(self, over_quota_weight: float, random: Random) -> None:
         self._over_quota_weight = over_quota_weight
         self._random = random
-        self._admitted_fraction = 1.0  # of the offered work
-        self._signalled_at_us = 0
-        self._admitted_at_us = 0
+        self._admitted_fraction = 1.0  # fraction of the offered cost
+        self._last_signal_at_us = 0
+        self._last_admitted_at_us = 0
         self._request_counts: dict[TrafficClass, int] = {}
         self._offered_cost_us: dict[TrafficClass, float] = {}
         self._weights: dict[TrafficClass, float] = {}  # priority weight of one request
-        self._longest_timeout_us: dict[str, int] = {}  # of first tries of clients, by class name
+        self._longest_timeout_us: dict[str, int] = {}  # of requests that are no client retries, by class name
 
     @property
     def admitted_fraction(self) -> float:
-        """The fraction of the offered work that is admitted."""
+        """The fraction of the offered cost that is admitted, from 0 to 1."""
         return self._admitted_fraction
 
     def sheds(
@@ -54,38 +56,46 @@
         cost_us: float,
         now_us: int,
     ) -> bool:
-        """Count a request; return whether to shed it."""
+        """Count a request and return whether to shed it."""
         traffic_class = TrafficClass(request_class.name, over_quota)
         weight = request_class.priority_weight * (self._over_quota_weight if over_quota else 1)
         self._weights[traffic_class] = weight
         self._request_counts[traffic_class] = self._request_counts.get(traffic_class, 0) + 1
         self._offered_cost_us[traffic_class] = self._offered_cost_us.get(traffic_class, 0.0) + cost_us
-        return self._is_late_retry(request, request_class) or self._is_excess(traffic_class, now_us)
+        return self._is_late_retry(request, request_class) or self._sheds_for_overload(traffic_class, now_us)
 
     def record_signal(self, in_time: bool, now_us: int) -> None:
-        """Admit more after a response in time, less after a sign of overload."""
-        since_us = self._signalled_at_us or now_us  # the first signal stands for no time at all
-        self._signalled_at_us = now_us
-        weight = min(now_us - since_us, MAX_SIGNAL_AGE_US) / SHED_TIME_CONSTANT_US
+        """Raise the admitted fraction after a response in time; lower it after a sign of overload."""
+        # No earlier signal exists before the first one, so the first signal covers no time and has no effect.
+        previous_at_us = self._last_signal_at_us or now_us
+        self._last_signal_at_us = now_us
+        step = min(now_us - previous_at_us, MAX_SIGNAL_AGE_US) / SHED_TIME_CONSTANT_US
         if in_time:
-            self._admitted_fraction = min(1.0, self._admitted_fraction + weight)
+            self._admitted_fraction = min(1.0, self._admitted_fraction + step)
         else:
-            self._admitted_fraction *= 1 - weight
+            self._admitted_fraction *= 1 - step
 
-    def _is_excess(self, traffic_class: TrafficClass, now_us: int) -> bool:
-        """Whether to shed a request under overload; never all of them, as only responses show its end."""
-        overloaded = self._admitted_fraction < 1 and now_us < self._admitted_at_us + MAX_SIGNAL_AGE_US
+    def _sheds_for_overload(self, traffic_class: TrafficClass, now_us: int) -> bool:
+        """Return whether to shed a request because of overload.
+
+        A request is always admitted if none has been for `MAX_SIGNAL_AGE_US`, because only responses can
+        show that the overload has ended.
+        """
+        overloaded = self._admitted_fraction < 1 and now_us < self._last_admitted_at_us + MAX_SIGNAL_AGE_US
         if overloaded and self._random.random() >= self._admission_probability(traffic_class):
             return True
-        self._admitted_at_us = now_us
+        self._last_admitted_at_us = now_us
         return False
 
     def _is_late_retry(self, request: RequestArrived, request_class: RequestClass) -> bool:
-        """Whether a client's retry comes after the latency objective of a class without late weight."""
+        """Return whether a client retry arrives too late to have any weight.
+
+        This is the case after the latency objective, if the class gives late responses no weight.
+        """
         name = request_class.name
         if not request.is_client_retry:
             self._longest_timeout_us[name] = max(request.timeout_us, self._longest_timeout_us.get(name, 0))
-        # Only the timeout of a retry that the deadline has cut short shows how much time is gone.
+        # The timeout of a retry shows the elapsed time only if the client's deadline has shortened it.
         is_cut_short = request.is_client_retry and request.timeout_us < self._longest_timeout_us.get(name, 0)
         elapsed_us = request_class.timeout_us - request.timeout_us
         return (
@@ -95,13 +105,18 @@
         )
 
     def _admission_probability(self, traffic_class: TrafficClass) -> float:
-        """Of one traffic class; those with more weight for their cost come first. May be outside [0, 1]."""
-        value = self._value(traffic_class)
-        above = sum(cost for other, cost in self._offered_cost_us.items() if self._value(other) > value)
-        admitted = self._admitted_fraction * sum(self._offered_cost_us.values())
-        return (admitted - above) / self._offered_cost_us[traffic_class]
-
-    def _value(self, traffic_class: TrafficClass) -> float:
-        """Priority weight for each microsecond of cost."""
+        """Return the admission probability of a traffic class; the result may be outside [0, 1].
+
+        Traffic classes with more weight per cost are admitted first and use up the admitted cost first.
+        """
+        rank = self._weight_per_cost(traffic_class)
+        preferred_cost_us = sum(
+            cost_us for other, cost_us in self._offered_cost_us.items() if self._weight_per_cost(other) > rank
+        )
+        admitted_cost_us = self._admitted_fraction * sum(self._offered_cost_us.values())
+        return (admitted_cost_us - preferred_cost_us) / self._offered_cost_us[traffic_class]
+
+    def _weight_per_cost(self, traffic_class: TrafficClass) -> float:
+        """Return the priority weight of a traffic class per microsecond of its cost."""
         weight = self._weights[traffic_class] * self._request_counts[traffic_class]
         return weight / self._offered_cost_us[traffic_class]
--- a/tests/unit/policy/test_load_shedding.py
+++ b/tests/unit/policy/test_load_shedding.py
@@ -1,4 +1,4 @@
-"""A gateway sheds load while its own responses show that the endpoints are overloaded."""
+"""Load shedding by a gateway whose own responses show that the endpoints are overloaded."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 LOW = RequestClass("low", 150 * US_PER_MS, 500 * US_PER_MS, Idempotency.IDEMPOTENT, priority_weight=1.0)
 HIGH = RequestClass("high", 150 * US_PER_MS, 500 * US_PER_MS, Idempotency.IDEMPOTENT, priority_weight=5.0)
 CLASSES = (LOW, HIGH)
-INTERVAL_US = 20 * US_PER_MS  # between requests
+INTERVAL_US = 20 * US_PER_MS  # time between two requests
 
 
 class Traffic:
-    """Requests whose attempts succeed after a latency."""
+    """Sends requests whose attempts succeed after a given latency."""
 
     def __init__(self, driver: PolicyDriver) -> None:
         self._driver = driver
-        self._responses: list[tuple[int, RequestId]] = []  # their moments
+        self._responses: list[tuple[int, RequestId]] = []  # min-heap of (time of the response, request)
 
     def wait(self, duration_us: int) -> None:
-        """Let time pass, and end the attempts that are due within it."""
+        """Advance the time and end the attempts that are due in the meantime."""
         driver, end_at_us = self._driver, self._driver.now_us + duration_us
         while self._responses and self._responses[0][0] <= end_at_us:
             response_at_us, request_id = heappop(self._responses)
@@ -34,7 +34,7 @@
         driver.advance_to(end_at_us)
 
     def send(self, request_class: RequestClass, latency_us: int, tenant: str = "") -> RequestId:
-        """Send a request that is answered after a latency."""
+        """Send a request whose attempts succeed after the latency; return its id."""
         request_id = self._driver.send_request(request_class, tenant=tenant)
         heappush(self._responses, (self._driver.now_us + latency_us, request_id))
         return request_id
@@ -43,7 +43,7 @@
 def send_both_classes(
     driver: PolicyDriver, latency_us: int, count: int, interval_us: int = INTERVAL_US
 ) -> None:
-    """Send requests of both classes in turn."""
+    """Send requests, alternating between the two classes."""
     traffic = Traffic(driver)
     for number in range(count):
         traffic.wait(interval_us)
@@ -51,7 +51,7 @@
 
 
 def shed_count(driver: PolicyDriver, request_class: RequestClass, last: int) -> int:
-    """How many of the last requests of a class were shed."""
+    """Return how many of the last requests of a class were shed."""
     of_class = [
         request_id for request_id in driver.answers if driver.class_names[request_id] == request_class.name
     ]
@@ -59,7 +59,7 @@
 
 
 def overloaded_driver(interval_us: int = INTERVAL_US) -> PolicyDriver:
-    """A gateway that got responses in time, and then for two seconds late ones."""
+    """Return a gateway that received responses in time, then late responses for two seconds."""
     driver = PolicyDriver(Settings(CLASSES, cancellation_allowed=True), 12, classes=CLASSES)
     send_both_classes(driver, 20 * US_PER_MS, 10 * US_PER_S // interval_us // 5, interval_us)
     assert not shed_count(driver, LOW, 50)
@@ -68,7 +68,10 @@
 
 
 def test_late_responses_shed_load_lowest_priority_first() -> None:
-    """Queues longer than client timeouts kept every endpoint busy with requests nobody waited for."""
+    """Guards against endpoints that work only on requests whose clients have given up.
+
+    Without load shedding, the queues of overloaded endpoints become longer than the clients' timeouts.
+    """
     driver = overloaded_driver()
     assert shed_count(driver, LOW, 20) > 10
     assert shed_count(driver, HIGH, 20) < shed_count(driver, LOW, 20)
@@ -80,14 +83,22 @@
     assert not shed_count(driver, LOW, 20)
 
 
-def test_gateway_with_little_traffic_sheds_load_as_soon() -> None:
-    """If late responses were counted, one of hundreds of gateways would react after a minute."""
+def test_gateway_with_little_traffic_sheds_load_equally_soon() -> None:
+    """Guards against a reaction time that depends on the traffic of the gateway.
+
+    If late responses were counted instead of weighted by time, one gateway of hundreds would start to shed
+    load only after a minute.
+    """
     driver = overloaded_driver(interval_us=150 * US_PER_MS)
     assert shed_count(driver, LOW, 3) >= 2
 
 
-def test_rejection_by_one_endpoint_is_no_overload_while_another_serves() -> None:
-    """Slow endpoints with full queues made gateways shed what the others had capacity for."""
+def test_rejection_by_one_endpoint_is_no_sign_of_overload_if_another_serves_the_request() -> None:
+    """Guards against shedding requests for which other endpoints have capacity.
+
+    Slow endpoints with full queues reject requests. Gateways must not take these rejections as overload while
+    other endpoints serve the same requests.
+    """
     driver = PolicyDriver(Settings(CLASSES, cancellation_allowed=True), 12, classes=CLASSES)
     for _ in range(200):
         driver.advance(20 * US_PER_MS)
@@ -100,7 +111,10 @@
 
 
 def test_client_retry_after_the_latency_objective_is_shed() -> None:
-    """Responses to such retries count for nothing, and delay those that could be in time."""
+    """Guards against work on client retries that can only be answered late.
+
+    Their responses have no weight, but they delay responses that could be in time.
+    """
     driver = PolicyDriver(Settings(CLASSES), 12, classes=CLASSES)
     driver.send_request(LOW, timeout_us=300 * US_PER_MS)
     in_time = driver.send_request(LOW, timeout_us=300 * US_PER_MS, is_client_retry=True)
@@ -110,15 +124,20 @@
 
 
 def test_late_client_retry_is_served_where_late_responses_have_weight() -> None:
-    patient = RequestClass("low", 150 * US_PER_MS, 500 * US_PER_MS, Idempotency.IDEMPOTENT, late_weight=0.5)
-    driver = PolicyDriver(Settings((patient,)), 12, classes=(patient,))
-    driver.send_request(patient, timeout_us=300 * US_PER_MS)
-    late = driver.send_request(patient, timeout_us=190 * US_PER_MS, is_client_retry=True)
+    class_with_late_weight = RequestClass(
+        "low", 150 * US_PER_MS, 500 * US_PER_MS, Idempotency.IDEMPOTENT, late_weight=0.5
+    )
+    driver = PolicyDriver(Settings((class_with_late_weight,)), 12, classes=(class_with_late_weight,))
+    driver.send_request(class_with_late_weight, timeout_us=300 * US_PER_MS)
+    late = driver.send_request(class_with_late_weight, timeout_us=190 * US_PER_MS, is_client_retry=True)
     assert driver.answers[late] == []
 
 
 def test_requests_over_quota_are_shed_first() -> None:
-    """They have little weight, and took the capacity of tenants within their quotas."""
+    """Guards against requests over quota using the capacity for tenants that are within their quotas.
+
+    Requests over quota have a lower weight here.
+    """
     settings = Settings((LOW,), tenant_quotas_per_s={"within": 30.0, "over": 5.0}, over_quota_weight=0.1)
     driver = PolicyDriver(settings, 12, classes=(LOW,))
     traffic = Traffic(driver)
@@ -137,7 +156,11 @@
 
 
 def test_load_shedding_admits_enough_to_notice_that_overload_has_ended() -> None:
-    """Gateways without endpoints in their zone shed all requests from then on, at no load."""
+    """Guards against shedding all requests forever, even without load.
+
+    Gateways without endpoints in their zone did so: when no request is admitted, no response can show that
+    the overload has ended.
+    """
     driver = PolicyDriver(Settings(CLASSES, cancellation_allowed=True), 12, classes=CLASSES)
     for _ in range(300):
         driver.send_request(LOW)
@@ -154,8 +177,12 @@
     assert not shed_count(driver, LOW, 20)
 
 
-def test_failed_connections_are_no_overload() -> None:
-    """When no endpoint of a zone accepted connections, the others had capacity for what was shed."""
+def test_failed_connections_are_no_sign_of_overload() -> None:
+    """Guards against shedding requests for which other endpoints have capacity.
+
+    When no endpoint of one zone accepted connections, gateways shed requests that the endpoints of other zones
+    could have served.
+    """
     driver = PolicyDriver(Settings(CLASSES), 12, classes=CLASSES)
     for _ in range(60):
         driver.send_request(LOW)
@@ -167,7 +194,7 @@
 
 
 def shed_request(settings: Settings, seed: int) -> ShedRequest:
-    """The answer of a gateway without endpoints."""
+    """Return the action of a gateway without endpoints for a request, which must be to shed it."""
     driver = PolicyDriver(settings, 0, seed, classes=CLASSES)
     driver.send_request(LOW)
     request = RequestArrived(len(driver.answers) + 1, LOW.name, 400 * US_PER_MS)
@@ -177,17 +204,17 @@
 
 
 def retry_after_us(max_retry_after_us: int, is_allowed: bool = True) -> list[int]:
-    """The advice of twenty gateways."""
+    """Return the Retry-After times of twenty gateways with different seeds."""
     settings = Settings(CLASSES, retry_after_allowed=is_allowed, max_retry_after_us=max_retry_after_us)
     return [shed_request(settings, seed).retry_after_us for seed in range(20)]
 
 
 def test_shed_request_gets_a_jittered_retry_after() -> None:
-    advice_us = retry_after_us(max_retry_after_us=600 * US_PER_MS)
-    assert len(set(advice_us)) > 10  # so that retries are spread
-    assert 0 < min(advice_us) < max(advice_us) < LOW.latency_objective_us
-    capped_us = retry_after_us(max_retry_after_us=20 * US_PER_MS)
-    assert 0 < min(capped_us) <= max(capped_us) <= 20 * US_PER_MS
+    times_us = retry_after_us(max_retry_after_us=600 * US_PER_MS)
+    assert len(set(times_us)) > 10  # Different times spread the retries.
+    assert 0 < min(times_us) < max(times_us) < LOW.latency_objective_us
+    capped_times_us = retry_after_us(max_retry_after_us=20 * US_PER_MS)
+    assert 0 < min(capped_times_us) <= max(capped_times_us) <= 20 * US_PER_MS
 
 
 def test_shed_request_gets_no_retry_after_where_clients_do_not_honour_it() -> None:
