--- a/tests/unit/policy/test_tenant_quota.py
+++ b/tests/unit/policy/test_tenant_quota.py
@@ -1,4 +1,4 @@
-"""Which requests are over the quota of their tenant."""
+"""Tenant quotas: which requests are over the quota of their tenant."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from http_gateway.policy.time_units import US_PER_S
 
 QUOTA_PER_S = 2.0
-BURST = round(QUOTA_PER_S * BURST_S)
+BURST_REQUESTS = round(QUOTA_PER_S * BURST_S)
 
 
 def request(tenant: str = "tenant", is_client_retry: bool = False) -> RequestArrived:
@@ -15,9 +15,9 @@
 
 
 def quotas_after_burst(now_us: int = 0) -> TenantQuotas:
-    """The quotas once the tenant has used up its burst."""
+    """Return quotas whose only tenant has used up its whole burst."""
     quotas = TenantQuotas({"tenant": QUOTA_PER_S})
-    assert not any(quotas.is_over_quota(request(), now_us) for _ in range(BURST))
+    assert not any(quotas.is_over_quota(request(), now_us) for _ in range(BURST_REQUESTS))
     return quotas
 
 
@@ -31,15 +31,15 @@
     assert quotas.is_over_quota(request(), round(US_PER_S / QUOTA_PER_S))
 
 
-def test_quota_is_not_saved_up_beyond_the_burst() -> None:
+def test_unused_quota_accumulates_only_up_to_the_burst() -> None:
     assert quotas_after_burst(now_us=3600 * US_PER_S).is_over_quota(request(), 3600 * US_PER_S)
 
 
 def test_client_retries_use_no_quota() -> None:
     quotas = TenantQuotas({"tenant": QUOTA_PER_S})
-    for _ in range(2 * BURST):
+    for _ in range(2 * BURST_REQUESTS):
         assert not quotas.is_over_quota(request(is_client_retry=True), 0)
-    assert not any(quotas.is_over_quota(request(), 0) for _ in range(BURST))
+    assert not any(quotas.is_over_quota(request(), 0) for _ in range(BURST_REQUESTS))
     assert quotas.is_over_quota(request(is_client_retry=True), 0)
 
 
