--- a/http_gateway/json_fields.py
+++ b/http_gateway/json_fields.py
@@ -1,6 +1,7 @@
-"""Reads fields of decoded JSON objects; an error names the field and the problem.
+"""Typed access to the fields of decoded JSON objects.
 
-A field that is absent, null or otherwise empty takes its default, and unknown fields are ignored.
+A field that is missing, null or another empty value takes its default. Unknown fields are ignored. An error
+names the path of the field and the problem.
 """
 
 from __future__ import annotations
@@ -10,11 +11,11 @@
 
 
 class FieldError(ValueError):
-    """A field has a value that cannot be read.
+    """A field has a value that cannot be converted.
 
     Attributes:
-        path: The place of the field in the document; "" for the document itself.
-        problem: What is wrong with it.
+        path: The path of the field in the document; "" for the document itself.
+        problem: What is wrong with the value, as the predicate of a sentence.
     """
 
     def __init__(self, path: str, problem: str) -> None:
@@ -28,10 +29,10 @@
 
     Args:
         value: The decoded object.
-        path: Its place in the document, for error messages; "" for the document itself.
+        path: The path of the object in the document, for error messages; "" for the document itself.
 
     Raises:
-        FieldError: The value is not an object.
+        FieldError: The value is not a JSON object.
     """
 
     def __init__(self, value: object, path: str = "") -> None:
@@ -41,43 +42,63 @@
         self._path = path
 
     def path(self, name: str) -> str:
-        """The place of a field in the document."""
+        """Return the path of a field in the document."""
         return f"{self._path}.{name}" if self._path else name
 
     def value(self, name: str) -> Any:
-        """A field as it was decoded; None if it is absent."""
+        """Return a field as it was decoded; None if it is missing."""
         return self._fields.get(name)
 
     def text(self, name: str) -> str:
-        """A field as text; "" by default."""
+        """Return a field as a string; "" by default."""
         return str(self._fields.get(name) or "")
 
     def flag(self, name: str) -> bool:
-        """A field as a truth value; False by default."""
+        """Return a field as a Boolean; False by default."""
         return bool(self._fields.get(name))
 
     def integer(self, name: str, default: int = 0) -> int:
-        """A field as a whole number; raises `FieldError`."""
+        """Return a field as an integer.
+
+        Raises:
+            FieldError: The value cannot be converted to an integer.
+        """
         try:
             return int(self._fields.get(name) or default)
         except (ValueError, TypeError, OverflowError):
             raise FieldError(self.path(name), "is not a whole number") from None
 
     def number(self, name: str, default: float = 0.0) -> float:
-        """A field as a number; raises `FieldError`."""
+        """Return a field as a floating-point number.
+
+        Raises:
+            FieldError: The value cannot be converted to a number.
+        """
         return self._to_number(name, self._fields.get(name) or default)
 
     def optional_number(self, name: str) -> float | None:
-        """A field as a number; None if it is absent or null. Raises `FieldError`."""
+        """Return a field as a floating-point number; None if it is missing or null.
+
+        Raises:
+            FieldError: The value cannot be converted to a number.
+        """
         value = self._fields.get(name)
         return None if value is None else self._to_number(name, value)
 
     def child(self, name: str) -> JsonFields:
-        """A field whose value is an object; an empty one by default. Raises `FieldError`."""
+        """Return the fields of a nested object; an empty object by default.
+
+        Raises:
+            FieldError: The value is not a JSON object.
+        """
         return JsonFields(self._fields.get(name) or {}, self.path(name))
 
     def children(self, name: str) -> list[JsonFields]:
-        """A field whose value is a list of objects; an empty one by default. Raises `FieldError`."""
+        """Return the objects of a list; an empty list by default.
+
+        Raises:
+            FieldError: The value is not a list, or an entry is not a JSON object.
+        """
         entries = self._fields.get(name) or ()
         if not isinstance(entries, list | tuple):
             raise FieldError(self.path(name), "is not a list")
--- a/http_gateway/policy/settings.py
+++ b/http_gateway/policy/settings.py
@@ -1,7 +1,7 @@
-"""Settings of one gateway, as the policy uses them.
+"""Settings of one gateway in the form that the policy uses.
 
-All times are whole microseconds. `http_gateway.settings_reader` maps the field names of the protocol to the
-names used here.
+All times are integers in microseconds. `http_gateway.settings_reader` converts the field names of the
+protocol to the names used here.
 """
 
 from __future__ import annotations
@@ -14,7 +14,13 @@
 
 
 class InvalidSettingsError(ValueError):
-    """A setting has a value that the policy cannot work with."""
+    """A setting has a value that the policy does not support.
+
+    Attributes:
+        setting: The name of the setting.
+        requirement: The condition that its value must meet.
+        request_class: The name of the request class that has the setting; None for a setting of the gateway.
+    """
 
     def __init__(self, setting: str, requirement: str, request_class: str | None = None) -> None:
         self.setting = setting
@@ -25,33 +31,41 @@
 
 
 class Idempotency(Enum):
-    """What executing a request a second time does."""
+    """The effect of executing a request a second time."""
 
-    IDEMPOTENT = "idempotent"  # no further effect
-    IDEMPOTENCY_KEY = "idempotency key"  # a group of endpoints drops repeats of the key for a while
-    AT_MOST_ONCE = "at most once"  # it must not happen; anything unknown is read as this
+    IDEMPOTENT = "idempotent"  # A second execution has no further effect.
+    # Endpoints of the deduplication scope ignore a repeated idempotency key during the deduplication window.
+    IDEMPOTENCY_KEY = "idempotency key"
+    # The request must not be executed twice. An unknown value in the settings is read as this one.
+    AT_MOST_ONCE = "at most once"
 
 
 class DeduplicationScope(Enum):
-    """Which endpoints drop repeats of an idempotency key."""
+    """The endpoints that share one record of idempotency keys and ignore repeats of a key."""
 
     ALL = "all"
     ZONE = "zone"
-    GROUP = "group"  # a deduplication group, the narrowest scope; anything unknown is read as this
+    # A deduplication group, the narrowest scope. An unknown value in the settings is read as this one.
+    GROUP = "group"
 
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """One class of request; raises `InvalidSettingsError`."""
+    """Settings of one request class.
+
+    Raises:
+        InvalidSettingsError: A value is missing or out of its range.
+    """
 
     name: str
-    latency_objective_us: int  # a response within this time counts with the full priority weight
-    timeout_us: int  # a client waits no longer than this, all its attempts together
+    latency_objective_us: int  # A response within this time counts with the full priority weight.
+    timeout_us: int  # The longest time that a client waits, including all attempts.
     idempotency: Idempotency = Idempotency.AT_MOST_ONCE
     deduplication_scope: DeduplicationScope = DeduplicationScope.GROUP
-    deduplication_window_us: int = 0  # from the start of the first attempt that was possibly executed
+    # The deduplication window starts with the first attempt that was possibly executed.
+    deduplication_window_us: int = 0
     priority_weight: float = 1.0
-    late_weight: float = 0.0  # fraction of the priority weight for a response after the latency objective
+    late_weight: float = 0.0  # The fraction of the priority weight after the latency objective.
 
     def __post_init__(self) -> None:
         for name in ("latency_objective_us", "timeout_us"):
@@ -63,33 +77,40 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """The settings of one gateway; raises `InvalidSettingsError`."""
+    """Settings of one gateway.
+
+    Raises:
+        InvalidSettingsError: A value is missing or out of its range.
+    """
 
     classes: tuple[RequestClass, ...]
     zone: str = ""
-    gateway_count: int = 1  # gateways that send to the same endpoints
-    gateway_index: int = 0  # the number of this gateway among them, from 0
-    max_attempts: int = 3  # of one request
-    hedging_allowed: bool = False  # a second attempt may start while the first is in flight
+    gateway_count: int = 1  # The number of gateways that send requests to the same endpoints.
+    gateway_index: int = 0  # The index of this gateway among them, from 0.
+    max_attempts: int = 3  # The maximum number of attempts of one request.
+    hedging_allowed: bool = False  # A second attempt may start while the first one is in flight.
     cancellation_allowed: bool = False
     health_checks_allowed: bool = False
-    retry_after_allowed: bool = False  # shed responses may have Retry-After
+    retry_after_allowed: bool = False  # The response to a shed request may have a Retry-After header.
     max_retry_after_us: int = 0
-    discovery_is_polled: bool = False  # discovery sends changes only when requested to
-    drain_grace_us: int = 0  # attempts at a draining endpoint are tolerated for this long after notification
+    discovery_is_polled: bool = False  # Discovery sends changes of the endpoint list only on request.
+    # For this long after the notification that an endpoint is draining, attempts there are still tolerated.
+    drain_grace_us: int = 0
     load_reports_in_responses: bool = False
     load_reports_in_health_checks: bool = False
-    key_affinity: bool = False  # an endpoint that has served a key lately does less work for it
-    initial_capacity: float = 1.0  # least fraction of its capacity that a starting endpoint has
-    slow_start_window_us: int = 0  # after this it has its full capacity
-    overload_factor: float = 4.0  # sent more than this multiple of its present capacity
-    overload_window_us: int = US_PER_S  # for this long, an endpoint that is warming up falls over
+    key_affinity: bool = False  # An endpoint does less work for a key that it has served recently.
+    initial_capacity: float = 1.0  # The least fraction of its full capacity that a new endpoint has.
+    slow_start_window_us: int = 0  # The time after which a started endpoint has its full capacity.
+    # An endpoint that is warming up fails if it is sent more than overload_factor times its current capacity
+    # for as long as overload_window_us.
+    overload_factor: float = 4.0
+    overload_window_us: int = US_PER_S
     connect_timeout_us: int = US_PER_S // 4
-    weights_are_capacities: bool = False  # the weight of an endpoint is its capacity
+    weights_are_capacities: bool = False  # The listed weight of an endpoint is its capacity.
     cross_zone_cost: float = 0.0
     health_check_cost: float = 0.0
-    tenant_quotas_per_s: Mapping[str, float] = field(default_factory=dict)  # at this gateway, in requests
-    over_quota_weight: float = 1.0  # fraction of the priority weight of a request over its tenant's quota
+    tenant_quotas_per_s: Mapping[str, float] = field(default_factory=dict)  # Requests/s at this gateway.
+    over_quota_weight: float = 1.0  # The fraction of its priority weight that a request over quota has.
 
     def __post_init__(self) -> None:
         if not self.classes:
--- a/http_gateway/settings_reader.py
+++ b/http_gateway/settings_reader.py
@@ -1,7 +1,7 @@
-"""Reads the settings object of the protocol into the policy's settings.
+"""Converts the settings object of the protocol to the settings of the policy.
 
-A gateway finds the object in its configuration, an instance in the simulator's first message. Its field names
-are those of the protocol; this is the only module that maps them.
+A gateway reads the object from its configuration. A simulated instance receives it in its `configure`
+message. Only this module knows the protocol's field names for settings.
 """
 
 from __future__ import annotations
@@ -15,24 +15,27 @@
     "deduplicated": Idempotency.IDEMPOTENCY_KEY,
     "at_most_once": Idempotency.AT_MOST_ONCE,
 }
-_SCOPES = {
+_DEDUPLICATION_SCOPES = {
     "all": DeduplicationScope.ALL,
     "zone": DeduplicationScope.ZONE,
     "cell": DeduplicationScope.GROUP,
 }
-_CAPACITY_WEIGHTS = ("nominal", "rough")  # sources of endpoint weights that are capacities
+_CAPACITY_WEIGHT_SOURCES = ("nominal", "rough")  # weight sources that list capacities
 
 
 def read_settings(value: object, path: str = "settings") -> Settings:
-    """Read a decoded settings object.
+    """Convert a decoded settings object.
 
     Args:
-        value: The object; its times are whole microseconds.
-        path: Its place in the document, for error messages.
+        value: The decoded object; its times are integers in microseconds.
+        path: The path of the object in its document, for error messages.
+
+    Returns:
+        The settings, with the default for each optional field that is missing or empty.
 
     Raises:
-        FieldError: A field cannot be read.
-        InvalidSettingsError: The policy cannot work with a value.
+        FieldError: A field cannot be converted to its type.
+        InvalidSettingsError: The policy does not support a value.
     """
     fields = JsonFields(value, path)
     permissions = fields.child("permissions")
@@ -62,7 +65,7 @@
         overload_factor=invariants.number("fallMultiple", 1.0),
         overload_window_us=invariants.integer("fall", US_PER_S),
         connect_timeout_us=permissions.integer("dialTimeout", US_PER_S // 4),
-        weights_are_capacities=fields.value("weightSource") in _CAPACITY_WEIGHTS,
+        weights_are_capacities=fields.value("weightSource") in _CAPACITY_WEIGHT_SOURCES,
         cross_zone_cost=fees.number("crossZone"),
         health_check_cost=fees.number("probe"),
         tenant_quotas_per_s=_read_tenant_quotas(fields, gateway_count),
@@ -71,7 +74,7 @@
 
 
 def _read_tenant_quotas(fields: JsonFields, gateway_count: int) -> dict[str, float]:
-    """This gateway's part of each tenant's quota, in requests per second."""
+    """Return this gateway's equal share of each tenant's quota, in requests per second."""
     return {
         str(tenant.value("name")): tenant.number("allowancePerS") / gateway_count
         for tenant in fields.children("realms")
@@ -85,7 +88,7 @@
         latency_objective_us=fields.integer("onTime"),
         timeout_us=fields.integer("giveUp"),
         idempotency=_IDEMPOTENCY.get(str(fields.value("effect")), Idempotency.AT_MOST_ONCE),
-        deduplication_scope=_SCOPES.get(str(fields.value("group")), DeduplicationScope.GROUP),
+        deduplication_scope=_DEDUPLICATION_SCOPES.get(str(fields.value("group")), DeduplicationScope.GROUP),
         deduplication_window_us=fields.integer("keyTtl"),
         priority_weight=fields.number("worth"),
         late_weight=fields.number("lateWorth"),
