--- a/http_gateway/simulator/__init__.py
+++ b/http_gateway/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The policy behind the simulator's wire: many instances in one process, on a virtual clock."""
+"""Adapter that runs many policy instances in one process for a simulator, on the simulator's clock."""
--- a/http_gateway/simulator/__main__.py
+++ b/http_gateway/simulator/__main__.py
@@ -1,4 +1,4 @@
-"""The simulator's adapter: reads batches on standard input, writes replies on standard output."""
+"""Runs the simulator adapter: batches of events on standard input, replies on standard output."""
 
 from __future__ import annotations
 
@@ -8,7 +8,11 @@
 
 
 def main() -> int:
-    """Serve until the input ends; return the exit code, 1 after malformed input."""
+    """Serve until the input ends.
+
+    Returns:
+        The exit code: 0 at the end of the input, 1 after malformed input.
+    """
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except MalformedInputError as error:
--- a/http_gateway/simulator/codec.py
+++ b/http_gateway/simulator/codec.py
@@ -1,7 +1,7 @@
-"""Maps messages of the simulator's wire to the policy's events, and the policy's actions to messages.
+"""Converts messages of the simulator protocol to policy events, and policy actions to messages.
 
-The field names and codes here are those of the wire; the policy knows none of them. Times on the wire are
-whole microseconds, as in the policy.
+Only this module knows the field names and outcome codes of the protocol; the policy does not use them.
+Times in messages are integers in microseconds, as in the policy.
 """
 
 from __future__ import annotations
@@ -55,7 +55,13 @@
 
 
 class MalformedEventError(Exception):
-    """A field of an event is missing or has a value that cannot be read."""
+    """A field of an event is missing or has a value that cannot be converted.
+
+    Attributes:
+        verb: The verb of the event's message.
+        field: The path of the field in the message.
+        problem: What is wrong with the field, as the predicate of a sentence.
+    """
 
     def __init__(self, verb: str, field: str, problem: str) -> None:
         self.verb = verb
@@ -65,14 +71,25 @@
 
 
 def required_field(message: WireMessage, field: str) -> Any:
-    """Return a field of a message; raises `MalformedEventError` if it is missing."""
+    """Return a field of a message.
+
+    Raises:
+        MalformedEventError: The field is missing.
+    """
     if field not in message:
         raise MalformedEventError(message["verb"], field, "is missing")
     return message[field]
 
 
 def decode_event(message: WireMessage) -> Event | None:
-    """Decode an event; None for one that the policy does not use. Raises `MalformedEventError`."""
+    """Convert a message to an event.
+
+    Returns:
+        The event; None if the policy does not use events with this verb.
+
+    Raises:
+        MalformedEventError: A field is missing or cannot be converted.
+    """
     decode = _EVENT_DECODERS.get(message["verb"])
     if decode is None:
         return None
@@ -83,7 +100,12 @@
 
 
 def encode_action(instance: int, action: Action) -> WireMessage:
-    """Encode an action of an instance; `instance` is its number on the wire."""
+    """Convert an action to a message.
+
+    Args:
+        instance: The number that identifies the policy instance in messages.
+        action: The action of that instance.
+    """
     match action:
         case StartAttempt(request_id, endpoint_id, expires_at_us):
             return {
@@ -148,7 +170,7 @@
 def _decode_outcome(message: WireMessage) -> Outcome:
     try:
         return _OUTCOMES.get(message["rc"], Outcome.UNKNOWN)
-    except TypeError:  # a list or an object
+    except TypeError:  # The code is a list or an object, which is not hashable.
         raise MalformedEventError(message["verb"], "rc", "is not a code") from None
 
 
@@ -165,21 +187,25 @@
 
 
 def _decode_endpoint_list(message: WireMessage) -> EndpointListUpdate:
-    """A list of an unknown kind is read as changes, which loses neither a drain nor an endpoint."""
+    """Convert an endpoint list.
+
+    A list of an unknown kind is read as a list of changes. Ignoring it could lose the start of a drain, and
+    reading it as complete could remove endpoints.
+    """
     kind = _UPDATE_KINDS.get(message.get("how") or "", ListUpdateKind.DELTA)
     entries = message.get("elements") or ()
     return EndpointListUpdate(
-        kind, tuple(_decode_list_entry(place, entry) for place, entry in enumerate(entries))
+        kind, tuple(_decode_list_entry(index, entry) for index, entry in enumerate(entries))
     )
 
 
-def _decode_list_entry(place: int, entry: Mapping[str, Any]) -> Endpoint:
+def _decode_list_entry(index: int, entry: Mapping[str, Any]) -> Endpoint:
     try:
         return _decode_endpoint(entry)
     except KeyError as error:
-        raise MalformedEventError("discovery", f"elements[{place}].{error.args[0]}", "is missing") from None
+        raise MalformedEventError("discovery", f"elements[{index}].{error.args[0]}", "is missing") from None
     except (AttributeError, OverflowError, TypeError, ValueError) as error:
-        raise MalformedEventError("discovery", f"elements[{place}]", f"cannot be read: {error}") from error
+        raise MalformedEventError("discovery", f"elements[{index}]", f"cannot be read: {error}") from error
 
 
 def _decode_endpoint(entry: Mapping[str, Any]) -> Endpoint:
--- a/http_gateway/simulator/instance_server.py
+++ b/http_gateway/simulator/instance_server.py
@@ -1,4 +1,4 @@
-"""Serves policy instances on the simulator's wire: reads batches of events, writes replies."""
+"""Serves policy instances over the simulator protocol: reads batches of events and writes replies."""
 
 from __future__ import annotations
 
@@ -14,11 +14,16 @@
 
 
 class MalformedInputError(Exception):
-    """The input is not of the wire's form; nothing after it can be answered."""
+    """The input violates the framing of the simulator protocol, so the rest cannot be answered."""
 
 
 class UnknownInstanceError(Exception):
-    """An event names an instance that has not been configured, or has been retired."""
+    """An event is addressed to an instance that has not been configured or has been retired.
+
+    Attributes:
+        verb: The verb of the event's message.
+        instance: The number of the instance.
+    """
 
     def __init__(self, verb: str, instance: int) -> None:
         self.verb = verb
@@ -27,35 +32,42 @@
 
 
 class Frame(NamedTuple):
-    """The opening of a batch."""
+    """The message that starts a batch: the simulator's clock and the number of the batch."""
 
     clock_us: int
     number: int
 
 
 class InstanceServer:
-    """The instances of one process, by their number on the wire."""
+    """The policy instances of one process, each identified by a number in the messages."""
 
     def __init__(self) -> None:
         self._balancers: dict[int, Balancer] = {}
-        self._failed: set[int] = set()
+        self._failed_instances: set[int] = set()
 
     def handle(self, message: WireMessage, now_us: int) -> list[WireMessage]:
-        """Pass one event to its instance; return the instance's actions as messages.
+        """Pass one event to its instance.
+
+        If handling the event raises an exception, the instance has failed and the reply is one `exception`
+        message. Further events for a failed instance are ignored until it is retired.
+
+        Args:
+            message: The event's message.
+            now_us: The simulator's time.
 
-        An instance that raises is declared failed by an `exception` message. Its further events are ignored
-        until it is retired.
+        Returns:
+            The actions of the instance as messages.
         """
         instance = message["gateway"]
         if message["verb"] == "retire":
             self._retire(instance)
             return []
-        if instance in self._failed:
+        if instance in self._failed_instances:
             return []
         try:
             return [encode_action(instance, action) for action in self._actions(instance, message, now_us)]
         except Exception as error:
-            self._failed.add(instance)
+            self._failed_instances.add(instance)
             text = f"{type(error).__name__}: {error}"
             return [{"verb": "exception", "gateway": instance, "msg": text}]
 
@@ -77,11 +89,19 @@
 
     def _retire(self, instance: int) -> None:
         self._balancers.pop(instance, None)
-        self._failed.discard(instance)
+        self._failed_instances.discard(instance)
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer batches until the input ends; raises `MalformedInputError`."""
+    """Answer batches until the input ends.
+
+    Args:
+        source: The input, one JSON message per line.
+        sink: The output, one JSON message per line; flushed after each batch.
+
+    Raises:
+        MalformedInputError: The input violates the framing of the protocol.
+    """
     server = InstanceServer()
     for line in source:
         frame = _read_frame(line)
@@ -93,33 +113,35 @@
 
 
 def _read_frame(line: bytes) -> Frame:
-    """Read the line that opens a batch."""
+    """Convert the line that starts a batch."""
     message = _read_message(line)
     clock_us, number = message.get("clock"), message.get("frame")
     if message["verb"] != "frame" or not isinstance(clock_us, int) or not isinstance(number, int):
-        raise MalformedInputError("a batch must open with a frame that has a clock and a number")
+        raise MalformedInputError(
+            "a batch must start with a frame message that has integer clock and frame fields"
+        )
     return Frame(clock_us, number)
 
 
 def _read_events(source: BinaryIO) -> Iterator[WireMessage]:
-    """Read the events of a batch up to its end."""
+    """Read the events of a batch up to its end marker."""
     for line in source:
         message = _read_message(line)
         if message["verb"] == "eob":
             return
         if not isinstance(message.get("gateway"), int):
-            raise MalformedInputError(f"{message['verb']} names no gateway")
+            raise MalformedInputError(f"{message['verb']} message has no integer gateway field")
         yield message
-    raise MalformedInputError("the input ended inside a batch")
+    raise MalformedInputError("input ended before the eob message of a batch")
 
 
 def _read_message(line: bytes) -> WireMessage:
     try:
         message = orjson.loads(line)
     except orjson.JSONDecodeError:
-        raise MalformedInputError("a line is not JSON") from None
+        raise MalformedInputError("line is not valid JSON") from None
     if not isinstance(message, dict) or not isinstance(message.get("verb"), str):
-        raise MalformedInputError("a line is not an object with a verb")
+        raise MalformedInputError("line is not a JSON object with a string verb field")
     return message
 
 
--- a/tests/integration/test_simulator.py
+++ b/tests/integration/test_simulator.py
@@ -1,4 +1,4 @@
-"""The simulator's adapter, run as a program on text of the wire."""
+"""The simulator adapter, run as a program with messages of the simulator protocol as input."""
 
 from __future__ import annotations
 
@@ -24,23 +24,25 @@
 }
 ENDPOINTS = [{"host": 7, "stageState": "IN", "group": 0, "regionPart": "here"}]
 
-Line = dict[str, Any]
+WireMessage = dict[str, Any]
 
 
 def run_adapter(text: str) -> subprocess.CompletedProcess[str]:
-    """Run the adapter with this input."""
+    """Run the adapter with the text as its standard input."""
     command = [sys.executable, "-m", "http_gateway.simulator"]
     return subprocess.run(command, input=text, capture_output=True, text=True, timeout=60, check=False)
 
 
-def batch(number: int, *events: Line, clock_us: int = 1000) -> str:
-    """Encode a batch."""
+def batch(number: int, *events: WireMessage, clock_us: int = 1000) -> str:
+    """Encode a batch of events, with its start and end messages, as lines of JSON."""
     lines = [{"verb": "frame", "clock": clock_us, "frame": number}, *events, {"verb": "eob"}]
     return "".join(json.dumps(line) + "\n" for line in lines)
 
 
-def configure(gateway: int = 3, setup: Line | None = None, endpoints: list[Line] | None = None) -> list[Line]:
-    """The events that start an instance."""
+def configure(
+    gateway: int = 3, setup: WireMessage | None = None, endpoints: list[WireMessage] | None = None
+) -> list[WireMessage]:
+    """Return the events that configure an instance and give it an endpoint list."""
     return [
         {"verb": "configure", "gateway": gateway, "seed": 5, "setup": SETUP if setup is None else setup},
         {
@@ -53,13 +55,13 @@
     ]
 
 
-def request(request_id: int = 11, gateway: int = 3) -> Line:
-    """The event of a request that arrives."""
+def request(request_id: int = 11, gateway: int = 3) -> WireMessage:
+    """Return the event of an arriving request."""
     return {"verb": "order", "gateway": gateway, "corr": request_id, "grade": "page", "expiresIn": 200000}
 
 
-def attempt_end(request_id: int, code: int, completed: bool, endpoint_id: int = 7) -> Line:
-    """The event of a first attempt that ends."""
+def attempt_end(request_id: int, code: int, completed: bool, endpoint_id: int = 7) -> WireMessage:
+    """Return the event of the end of a first attempt."""
     return {
         "verb": "attemptEnd",
         "gateway": 3,
@@ -73,21 +75,21 @@
     }
 
 
-def replies(text: str) -> list[Line]:
-    """Run the adapter; return the messages of its replies."""
+def replies(text: str) -> list[WireMessage]:
+    """Run the adapter and return the messages of its replies."""
     result = run_adapter(text)
     assert result.returncode == 0, result.stderr
     assert result.stderr == ""
     return [json.loads(line) for line in result.stdout.splitlines()]
 
 
-def decisions(text: str) -> list[Line]:
-    """Run the adapter; return its actions but for timers."""
+def decisions(text: str) -> list[WireMessage]:
+    """Run the adapter and return its actions, without timers."""
     return [reply for reply in replies(text) if reply["verb"] not in ("ack", "wakeMe")]
 
 
 def verbs(text: str) -> list[str]:
-    """Run the adapter; return the verbs of its actions but for timers."""
+    """Run the adapter and return the verbs of its actions, without timers."""
     return [decision["verb"] for decision in decisions(text)]
 
 
@@ -117,7 +119,7 @@
     assert verbs(batch(1, *configure(endpoints=endpoints)) + batch(2, request())) == ["refuse"]
 
 
-def test_instance_that_is_retired_and_configured_in_one_batch_starts_anew() -> None:
+def test_instance_that_is_retired_and_configured_in_one_batch_is_reset() -> None:
     text = batch(1, *configure()) + batch(2, request())
     text += batch(3, {"verb": "retire", "gateway": 3}, *configure(endpoints=[]), request(12))
     assert verbs(text) == ["dispatch", "refuse"]
@@ -131,9 +133,9 @@
     text = batch(1, *configure(gateway=1, setup={}), *configure()) + batch(
         2, request(), request(12, gateway=1)
     )
-    found = decisions(text)
-    assert [(reply["verb"], reply["gateway"]) for reply in found] == [("exception", 1), ("dispatch", 3)]
-    assert "classes" in found[0]["msg"]
+    sent = decisions(text)
+    assert [(reply["verb"], reply["gateway"]) for reply in sent] == [("exception", 1), ("dispatch", 3)]
+    assert "classes" in sent[0]["msg"]
 
 
 @pytest.mark.parametrize(
@@ -167,7 +169,9 @@
     ],
     ids=["missing", "not a code", "missing in an entry", "wrong in an entry", "no settings", "no seed"],
 )
-def test_malformed_event_fails_its_instance_and_names_verb_and_field(event: Line, message: str) -> None:
+def test_malformed_event_fails_its_instance_and_names_verb_and_field(
+    event: WireMessage, message: str
+) -> None:
     text = batch(1, *configure(), event) + batch(2, request())
     assert decisions(text) == [{"verb": "exception", "gateway": 3, "msg": message}]
 
@@ -177,7 +181,7 @@
     assert decisions(batch(1, request())) == [{"verb": "exception", "gateway": 3, "msg": message}]
 
 
-def test_failed_instance_starts_anew_once_it_is_retired_and_configured() -> None:
+def test_failed_instance_works_again_once_it_is_retired_and_configured() -> None:
     text = batch(1, request()) + batch(2, {"verb": "retire", "gateway": 3}, *configure(), request(12))
     assert verbs(text) == ["exception", "dispatch"]
 
@@ -218,7 +222,11 @@
 
 
 def test_endpoint_list_of_an_unknown_kind_is_read_as_changes() -> None:
-    """Ignored, it might hide a drain; read as a complete list, it would remove endpoints it does not name."""
+    """Guards against a missed drain and against lost endpoints.
+
+    Ignoring the list could miss the start of a drain. Reading it as a complete list would remove the
+    endpoints that it does not contain.
+    """
     update = {
         "verb": "discovery",
         "gateway": 3,
