--- a/tests/unit/policy/test_load_shedding.py
+++ b/tests/unit/policy/test_load_shedding.py
@@ -180,7 +180,7 @@
 def test_failed_connections_are_no_sign_of_overload() -> None:
     """Guards against shedding requests for which other endpoints have capacity.
 
-    When no endpoint of one zone accepted connections, gateways shed requests that the endpoints of other zones
+    When no endpoint of one zone accepted connections, gateways shed requests that endpoints of other zones
     could have served.
     """
     driver = PolicyDriver(Settings(CLASSES), 12, classes=CLASSES)
