--- a/http_gateway/policy/balancer.py
+++ b/http_gateway/policy/balancer.py
@@ -118,7 +118,7 @@
             return actions
         # Failed attempts are a sign of bad endpoints; rejections, or no endpoint with capacity, of overload.
         if all(attempt.outcome is Outcome.REJECTED for attempt in pending.attempts):
-            self._shedder.record_signal(in_time=False, now_us=now_us)
+            self._shedder.record_load_signal(in_time=False, now_us=now_us)
         return self._answer(pending, now_us)
 
     def _attempt(self, pending: PendingRequest, now_us: int) -> list[Action]:
@@ -257,9 +257,9 @@
         """
         is_late = now_us - attempt.started_at_us > _in_time_us(pending.request_class)
         if attempt.outcome is Outcome.OK:
-            self._shedder.record_signal(in_time=not is_late, now_us=now_us)
+            self._shedder.record_load_signal(in_time=not is_late, now_us=now_us)
         elif attempt.outcome is Outcome.TIMEOUT or (is_late and attempt.outcome is Outcome.CANCELLED):
-            self._shedder.record_signal(in_time=False, now_us=now_us)
+            self._shedder.record_load_signal(in_time=False, now_us=now_us)
 
     def _adapt_concurrency(
         self, tracked: TrackedEndpoint, pending: PendingRequest, attempt: Attempt, now_us: int
--- a/http_gateway/policy/load_shedding.py
+++ b/http_gateway/policy/load_shedding.py
@@ -64,7 +64,7 @@
         self._offered_cost_us[traffic_class] = self._offered_cost_us.get(traffic_class, 0.0) + cost_us
         return self._is_late_retry(request, request_class) or self._sheds_for_overload(traffic_class, now_us)
 
-    def record_signal(self, in_time: bool, now_us: int) -> None:
+    def record_load_signal(self, in_time: bool, now_us: int) -> None:
         """Raise the admitted fraction after a response in time; lower it after a sign of overload."""
         # No earlier signal exists before the first one, so the first signal covers no time and has no effect.
         previous_at_us = self._last_signal_at_us or now_us
