--- a/http_gateway/policy/balancer.py
+++ b/http_gateway/policy/balancer.py
@@ -134,7 +134,7 @@
             return actions
         # Rejections, or no endpoint with capacity, indicate overload. Other failures indicate bad endpoints.
         if all(attempt.outcome is Outcome.REJECTED for attempt in pending.attempts):
-            self._shedder.record_signal(in_time=False, now_us=now_us)
+            self._shedder.record_load_signal(in_time=False, now_us=now_us)
         return self._shed_or_fail(pending, now_us)
 
     def _start_attempt_if_allowed(self, pending: PendingRequest, now_us: int) -> list[Action]:
@@ -287,9 +287,9 @@
         """
         is_late = now_us - attempt.started_at_us > _in_time_limit_us(pending.request_class)
         if attempt.outcome is Outcome.OK:
-            self._shedder.record_signal(in_time=not is_late, now_us=now_us)
+            self._shedder.record_load_signal(in_time=not is_late, now_us=now_us)
         elif attempt.outcome is Outcome.TIMEOUT or (is_late and attempt.outcome is Outcome.CANCELLED):
-            self._shedder.record_signal(in_time=False, now_us=now_us)
+            self._shedder.record_load_signal(in_time=False, now_us=now_us)
 
     def _adjust_concurrency_limit(
         self, tracked: TrackedEndpoint, pending: PendingRequest, attempt: Attempt, now_us: int
