--- a/http_gateway/net/client_request.py
+++ b/http_gateway/net/client_request.py
@@ -1,4 +1,4 @@
-"""What the frontend submits for a client, and what the client gets."""
+"""Requests that the frontend submits for clients, and the responses to them."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Response:
-    """The final response to a client."""
+    """The final response to a client's request."""
 
     status: int
     headers: Headers = field(default_factory=list)
@@ -18,14 +18,24 @@
 
 
 class ResponseCallback(Protocol):
-    """Called with the final response of a request."""
+    """Callback that receives the final response to a request."""
 
     def __call__(self, response: Response, /) -> None:
         """Send the response to the client."""
 
 
 class ClientRequest(NamedTuple):
-    """A client's request: the message for the endpoint, and what the policy knows of it."""
+    """A client's request: the message to forward, and the properties that the policy uses.
+
+    Attributes:
+        message: the HTTP request to forward to an endpoint.
+        class_name: name of the request class.
+        timeout_us: time in microseconds within which the client expects the response.
+        cost_us: expected processing cost in microseconds; 0 if the client gave none.
+        key: routing key, if the client gave one.
+        is_client_retry: whether the client marked the request as a retry.
+        tenant: tenant that the request belongs to; empty if the client gave none.
+    """
 
     message: Message
     class_name: str
--- a/http_gateway/net/dispatched_request.py
+++ b/http_gateway/net/dispatched_request.py
@@ -1,4 +1,4 @@
-"""The state of one client request until it has its response and all its attempts have ended."""
+"""State of a client request from its submission until it is answered and all its attempts have ended."""
 
 from __future__ import annotations
 
@@ -14,25 +14,35 @@
 
 @dataclass(slots=True)
 class DispatchedAttempt:
-    """An attempt that the policy has requested; its number is its place in `DispatchedRequest.attempts`."""
+    """An attempt that the policy has requested.
+
+    The attempt number is the index in `DispatchedRequest.attempts`.
+    """
 
     endpoint_id: EndpointId
     started_at_us: int
-    upstream_attempt: UpstreamAttempt | None = None  # while it is in flight
+    upstream_attempt: UpstreamAttempt | None = None  # None unless the attempt is in flight
     has_ended: bool = False
 
     def start(self, upstream_attempt: UpstreamAttempt) -> None:
-        """Note the attempt that the pool has started."""
+        """Record the upstream attempt that the pool has started."""
         self.upstream_attempt = upstream_attempt
 
     def end(self) -> None:
-        """Note that the attempt has ended."""
+        """Mark the attempt as ended."""
         self.has_ended = True
         self.upstream_attempt = None
 
 
 class DispatchedRequest:
-    """A request that needs its response, or has attempts in flight."""
+    """A request that has no final response yet or still has attempts in flight.
+
+    Args:
+        client_request: the request as the client sent it.
+        respond: sends the final response to the client.
+        has_client_disconnected: whether the client has disconnected.
+        deadline_at_us: time on the gateway's clock, in microseconds, by which the response is due.
+    """
 
     def __init__(
         self,
@@ -50,49 +60,49 @@
 
     @property
     def needs_response(self) -> bool:
-        """Whether the client still waits for its final response."""
+        """Whether the client still waits for the final response."""
         return self._respond is not None
 
     @property
     def is_finished(self) -> bool:
-        """Whether there is nothing more to respond to or to wait for."""
+        """Whether no response is needed any more and all attempts have ended."""
         return not self.needs_response and all(attempt.has_ended for attempt in self.attempts)
 
     def has_client_disconnected(self) -> bool:
-        """Whether the client has disconnected, though the gateway may not have been notified yet."""
+        """Return whether the client has disconnected, even if the event loop has not reported it yet."""
         return self._has_client_disconnected()
 
     def set_deadline_timer(self, timer: asyncio.TimerHandle) -> None:
-        """Note the timer that runs until the deadline."""
+        """Store the timer that fires at the deadline of the request."""
         self._deadline_timer = timer
 
     def cancel_deadline_timer(self) -> None:
-        """Stop the timer that runs until the deadline."""
+        """Cancel the deadline timer, if one is set."""
         if self._deadline_timer is not None:
             self._deadline_timer.cancel()
 
     def respond(self, response: Response) -> None:
-        """Send the final response; does nothing after the first one."""
+        """Send the final response; further calls have no effect."""
         respond, self._respond = self._respond, None
         if respond is not None:
             respond(response)
 
     def abandon(self) -> None:
-        """Send no response any more, since the client has disconnected."""
+        """Discard the response callback, because the client has disconnected."""
         self._respond = None
 
     def add_attempt(self, endpoint_id: EndpointId, now_us: int) -> int:
-        """Add an attempt that the policy has requested; return its number."""
+        """Add an attempt that the policy has requested, and return its attempt number."""
         self.attempts.append(DispatchedAttempt(endpoint_id, now_us))
         return len(self.attempts) - 1
 
     def limit_last_byte(self, before_s: float) -> None:
-        """End attempts whose last byte is not written by this loop time."""
+        """Set a deadline, in loop time, for the last request byte of all attempts in flight."""
         for attempt in self.attempts:
             if attempt.upstream_attempt is not None:
                 attempt.upstream_attempt.limit_last_byte(before_s)
 
-    # Stopping an attempt may add another one to the list, which the loops below then meet.
+    # Stopping an attempt may append a retry to `attempts`; the loops below then visit the retry as well.
 
     def cancel_attempts(self) -> None:
         """Cancel every attempt in flight."""
@@ -101,7 +111,7 @@
                 attempt.upstream_attempt.stop(Outcome.CANCELLED)
 
     def cancel_unwritten_attempts(self) -> None:
-        """Cancel the attempts whose request has not reached its endpoint."""
+        """Cancel the attempts in flight whose request is not completely written."""
         for attempt in self.attempts:
             if attempt.upstream_attempt is not None and not attempt.upstream_attempt.is_written:
                 attempt.upstream_attempt.stop(Outcome.CANCELLED)
@@ -114,5 +124,9 @@
 
 
 def time_out(attempt: UpstreamAttempt) -> None:
-    """End an attempt at its deadline; one that was not written completely was not executed."""
+    """End an attempt at its deadline.
+
+    The outcome is `NOT_SENT` if the request was not completely written, because the endpoint cannot have
+    executed it.
+    """
     attempt.stop(Outcome.TIMEOUT if attempt.is_written else Outcome.NOT_SENT)
--- a/http_gateway/net/request_dispatcher.py
+++ b/http_gateway/net/request_dispatcher.py
@@ -1,4 +1,8 @@
-"""Drives one `Balancer`: feeds it events, executes its actions, and keeps its timers and the deadlines."""
+"""Connects the policy with the network side of the gateway.
+
+The dispatcher passes events to one `Balancer`, executes the actions that it returns, and runs its timers and
+the deadline timers of the requests.
+"""
 
 from __future__ import annotations
 
@@ -41,13 +45,18 @@
 
 log = logging.getLogger(__name__)
 
-# Microseconds before the client's own limit by which its response is due: the limit includes the network in
-# both directions, and the event loop may run late.
+# The gateway's deadline for a response is this many microseconds before the client's timeout. The margin
+# covers the network latency in both directions and delays of the event loop.
 RESPONSE_MARGIN_US = 15_000
 
 
 class RequestDispatcher:
-    """Has every submitted request answered exactly once, as the policy decides."""
+    """Answers every submitted request exactly once, as the policy decides.
+
+    Args:
+        balancer: the policy.
+        pool: opens connections to endpoints and sends the attempts on them.
+    """
 
     def __init__(self, balancer: Balancer, pool: UpstreamPool) -> None:
         self._balancer = balancer
@@ -62,29 +71,33 @@
 
     @property
     def has_endpoint_list(self) -> bool:
-        """Whether a list with endpoints has been received or read from the cache."""
+        """Whether a non-empty endpoint list has been received from discovery or read from the cache."""
         return self._has_endpoint_list
 
     @property
     def unanswered_count(self) -> int:
-        """How many requests need a response."""
+        """Number of requests that have no final response yet."""
         return sum(request.needs_response for request in self._requests.values())
 
     @property
     def in_flight_count(self) -> int:
-        """How many requests need a response, or have attempts in flight."""
+        """Number of requests that have no final response yet or still have attempts in flight."""
         return len(self._requests)
 
     @property
     def submitted_count(self) -> int:
-        """How many requests have been submitted."""
+        """Number of requests submitted since the start."""
         return self._submitted_count
 
     def update_endpoints(self, endpoint_list: EndpointList, is_cached: bool = False) -> None:
-        """Apply an endpoint list.
+        """Apply an endpoint list to the policy and to the connection pool.
 
-        The policy is notified before the pool: an attempt that the pool ends at a draining endpoint must not
-        be retried at another one that the same list drains.
+        The policy is updated first. The pool ends attempts that are still connecting to a draining endpoint,
+        and the policy must not retry them at another endpoint that drains in the same list.
+
+        Args:
+            endpoint_list: a complete list or the changes since the last one.
+            is_cached: whether the list was read from the cache; the pool treats it as complete.
         """
         self._has_endpoint_list = self._has_endpoint_list or bool(endpoint_list.entries)
         endpoints = tuple(entry.endpoint for entry in endpoint_list.entries)
@@ -97,7 +110,17 @@
         respond: ResponseCallback,
         has_client_disconnected: Callable[[], bool] = lambda: False,
     ) -> RequestId:
-        """Have a request served; `respond` is called exactly once, unless the request is abandoned."""
+        """Submit a client's request to the policy.
+
+        Args:
+            client_request: the request and its timeout.
+            respond: called exactly once with the final response, unless the request is abandoned.
+            has_client_disconnected: whether the client has disconnected, even if the event loop has not
+                handled the disconnect yet.
+
+        Returns:
+            The id of the request.
+        """
         self._submitted_count += 1
         request_id = self._submitted_count
         timeout_us = max(1, client_request.timeout_us - RESPONSE_MARGIN_US)
@@ -109,7 +132,7 @@
         return request_id
 
     def abandon(self, request_id: RequestId) -> None:
-        """The client has disconnected: send neither a response nor another attempt."""
+        """Abandon a request whose client has disconnected: no response and no further attempt is sent."""
         request = self._requests.get(request_id)
         if request is not None and request.needs_response:
             request.abandon()
@@ -117,7 +140,11 @@
             self._release_if_answered(request_id)
 
     def _feed(self, event: Event) -> None:
-        """Have the policy handle events one by one: executing an action may cause the next event."""
+        """Queue an event and handle all queued events in order.
+
+        Executing an action may cause another event. It is queued, so that the policy finishes the current
+        event first.
+        """
         self._events.append(event)
         if self._is_handling_events:
             return
@@ -129,7 +156,11 @@
             self._is_handling_events = False
 
     def _handle(self, event: Event) -> None:
-        """Handle one event; a fault fails its own request, and neither the process nor another request."""
+        """Pass one event to the policy and execute the resulting actions.
+
+        An exception fails only the request that the event belongs to. The process and all other requests
+        continue.
+        """
         try:
             for action in self._balancer.handle(event, self._clock.now_us()):
                 self._execute(action)
@@ -153,7 +184,8 @@
             case SetTimer(delay_us, token):
                 self._loop.call_later(delay_us / US_PER_S, self._feed, TimerFired(token))
             case _:
-                # WatchEndpointList: the watch always runs. CheckHealth: no health checks are sent.
+                # WatchEndpointList needs no action because the gateway always watches the endpoint list.
+                # CheckHealth is ignored because the gateway sends no health checks.
                 pass
 
     def _start_attempt(self, action: StartAttempt) -> None:
@@ -196,7 +228,11 @@
             attempt.stop(Outcome.CANCELLED)
 
     def _is_wanted(self, request_id: RequestId) -> bool:
-        """Whether the client still waits; on a late event loop its disconnect may not have been handled."""
+        """Return whether the client still waits for a response.
+
+        If the client has disconnected but a delayed event loop has not handled this yet, the request is
+        abandoned here.
+        """
         request = self._requests.get(request_id)
         if request is not None and request.needs_response and request.has_client_disconnected():
             self.abandon(request_id)
@@ -228,7 +264,10 @@
             request.respond(response)
 
     def _release_if_answered(self, request_id: RequestId) -> None:
-        """Write nothing more for a request without a waiting client; release it once all attempts end."""
+        """Cancel the unwritten attempts of a request that needs no response any more.
+
+        The request is removed once all its attempts have ended.
+        """
         request = self._requests.get(request_id)
         if request is None or request.needs_response:
             return
@@ -244,19 +283,22 @@
         request.set_deadline_timer(timer)
 
     def _expire(self, request_id: RequestId) -> None:
-        """Time out the attempts of a request at its deadline, which makes the policy answer it."""
+        """Time out all attempts of a request that has reached its deadline.
+
+        The ends of the attempts normally make the policy answer the request; otherwise it gets a 504.
+        """
         request = self._requests.get(request_id)
         if request is None:
             return
         remaining_us = request.deadline_at_us - self._clock.now_us()
-        if remaining_us > 0:  # the loop's clock is coarser than the one that the policy is given
+        if remaining_us > 0:  # loop timers use a coarser clock than the policy and may fire early
             self._start_deadline_timer(request_id, request, remaining_us)
             return
         request.time_out_attempts()
         self._fail(request_id, HTTPStatus.GATEWAY_TIMEOUT)
 
     def _fail(self, request_id: RequestId, status: HTTPStatus) -> None:
-        """Answer a request for which the policy gave no response; does nothing if it has one."""
+        """Answer a request with this status if the policy has not answered it, and cancel its attempts."""
         request = self._requests.get(request_id)
         if request is None or not request.needs_response:
             return
