--- a/http_gateway/net/upstream/__init__.py
+++ b/http_gateway/net/upstream/__init__.py
@@ -1,1 +1,1 @@
-"""Connections to endpoints, and the attempts made on them."""
+"""Connections to endpoints, and the attempts that are sent on them."""
--- a/http_gateway/net/upstream/attempt.py
+++ b/http_gateway/net/upstream/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt at an endpoint, from its start to its single end."""
+"""One attempt to send a request to an endpoint, from its start until its outcome is known."""
 
 from __future__ import annotations
 
@@ -13,28 +13,34 @@
 
 
 class AttemptEndCallback(Protocol):
-    """Called once when an attempt ends."""
+    """Callback that is called exactly once when an attempt ends."""
 
     def __call__(self, outcome: Outcome, response: Message | None, /) -> None:
-        """Take the outcome, and the response if there is one."""
+        """Receive the outcome of the attempt, and the response if there is one."""
 
 
 class AttemptConnection(Protocol):
-    """The connection that an attempt is in flight on."""
+    """The part of a connection that an attempt uses while it is in flight."""
 
     @property
     def is_request_written(self) -> bool:
-        """Whether the endpoint may have received the last byte of the request."""
+        """Whether the whole request is written, so that the endpoint may have received its last byte."""
 
     def drop(self) -> None:
-        """Close the connection at once."""
+        """Close the connection immediately."""
 
 
 class UpstreamAttempt:
-    """One attempt to have an endpoint serve a request; it ends exactly once.
+    """One attempt to send a request to an endpoint; it ends exactly once.
 
-    It owns the task that connects for it and the timer that limits its last byte. `stop` cancels the
-    task, and every end cancels the timer.
+    The attempt owns the task that opens a connection for it, and the timer for the deadline of its last byte.
+    `stop` cancels the task, and the timer is cancelled whenever the attempt ends.
+
+    Args:
+        request: the client's request.
+        expires_at_s: loop time at which the client stops waiting.
+        on_end: called exactly once with the outcome.
+        is_wanted: whether the client still waits for the response.
     """
 
     def __init__(
@@ -51,45 +57,52 @@
         self._is_wanted = is_wanted
         self._connection: AttemptConnection | None = None
         self._connect_task: asyncio.Task[None] | None = None
-        self._last_byte_before_s = math.inf  # loop time
+        self._last_byte_before_s = math.inf  # deadline for the last byte, in loop time
         self._last_byte_timer: asyncio.TimerHandle | None = None
 
     @property
     def has_ended(self) -> bool:
-        """Whether the attempt has its outcome."""
+        """Whether the attempt has ended and its outcome has been reported."""
         return self._on_end is None
 
     @property
     def has_safe_method(self) -> bool:
-        """Whether the method is safe (RFC 9110, 9.2.1): executing the request twice does no harm."""
+        """Whether the method is safe (RFC 9110, section 9.2.1), so that the request may be executed twice."""
         return self._request.method == b"GET"
 
     @property
     def connection(self) -> AttemptConnection | None:
-        """The connection that the attempt is in flight on."""
+        """The connection that the attempt uses, or None while it has none."""
         return self._connection
 
     @property
     def is_written(self) -> bool:
-        """Whether the endpoint may have received the last byte of the request."""
+        """Whether the whole request is written, so that the endpoint may have received its last byte."""
         return self._connection is not None and self._connection.is_request_written
 
     @property
     def is_in_time(self) -> bool:
-        """Whether the last byte may still be written."""
+        """Whether the deadline for the last byte has not passed yet."""
         return self._loop.time() < self._last_byte_before_s
 
     def is_wanted(self) -> bool:
-        """Whether a client still waits; checked right before bytes are written, and may end the attempt."""
+        """Return whether the client still waits for the response.
+
+        Called right before bytes are written. The check may end the attempt.
+        """
         return self._is_wanted()
 
     def request_bytes(self) -> bytes:
-        """The request as it is written now, with the time that remains in `x-deadline`."""
+        """Serialize the request; the header `x-deadline` gives the seconds that remain until the deadline."""
         remaining_s = max(0.0, self._expires_at_s - self._loop.time())
         return write_request(self._request, [(b"x-deadline", b"%.3f" % remaining_s)])
 
     def limit_last_byte(self, before_s: float) -> None:
-        """End the attempt at this loop time as not sent if its last byte is not written by then."""
+        """Set a deadline, in loop time, for writing the last byte of the request.
+
+        If the last byte is not written by then, the attempt ends with `NOT_SENT`. A later deadline than the
+        current one is ignored.
+        """
         if before_s >= self._last_byte_before_s or self.has_ended:
             return
         if self._last_byte_timer is not None:
@@ -98,20 +111,23 @@
         self._last_byte_timer = self._loop.call_at(before_s, self._stop_unwritten)
 
     def connect(self, connecting: Coroutine[Any, Any, None], on_done: Callable[[], None]) -> None:
-        """Run the coroutine that connects for this attempt in a task; `stop` cancels it.
+        """Run a coroutine that opens a connection for this attempt, in a task that `stop` cancels.
+
+        If the attempt has no connection when the task is done, it ends with `CONNECT_FAILED`.
 
-        `on_done` is called when the task is done, even if it was cancelled before its first step. Without a
-        connection by then the attempt has failed to connect.
+        Args:
+            connecting: the coroutine that opens the connection.
+            on_done: called when the task is done, even if it was cancelled before its first step.
         """
         self._connect_task = self._loop.create_task(connecting)
         self._connect_task.add_done_callback(lambda _: self._connect_done(on_done))
 
     def attach(self, connection: AttemptConnection) -> None:
-        """Note the connection that the attempt is in flight on from now on."""
+        """Record the connection on which the attempt is sent."""
         self._connection = connection
 
     def stop(self, outcome: Outcome) -> None:
-        """End the attempt with this outcome and close its connection; does nothing after its end."""
+        """End the attempt with this outcome and close its connection; has no effect once it has ended."""
         if self.has_ended:
             return
         connection, self._connection = self._connection, None
@@ -122,7 +138,7 @@
         self.end(outcome)
 
     def end(self, outcome: Outcome, response: Message | None = None) -> None:
-        """Report the outcome; does nothing after the first time."""
+        """End the attempt and report the outcome; further calls report nothing."""
         if self._last_byte_timer is not None:
             self._last_byte_timer.cancel()
         self._connection = None
--- a/http_gateway/net/upstream/connection.py
+++ b/http_gateway/net/upstream/connection.py
@@ -1,4 +1,4 @@
-"""One connection to an endpoint, with one attempt on it at a time."""
+"""A connection to an endpoint, which carries one attempt at a time."""
 
 from __future__ import annotations
 
@@ -19,44 +19,45 @@
 
 log = logging.getLogger(__name__)
 
-# Seconds for which a connection is not used after a response: an endpoint may send a second response some
-# milliseconds late, which would be taken for the response to the next request.
+# Seconds after a response before the connection is used again. An endpoint may send a second response a few
+# milliseconds later, which would be mistaken for the response to the next request.
 RESPONSE_SETTLE_S = 0.01
 
 
 class ConnectionOwner(Protocol):
-    """What a connection needs of the endpoint's connections that it belongs to."""
+    """The interface that a connection needs of the object that manages the connections to its endpoint."""
 
     @property
     def endpoint_id(self) -> EndpointId:
-        """The endpoint that is connected to."""
+        """Id of the endpoint."""
 
     @property
     def is_ready(self) -> bool:
-        """Whether the endpoint may get another request."""
+        """Whether new requests may be sent to the endpoint."""
 
     @property
     def idle_timeout_s(self) -> float:
         """Seconds after which an idle connection is closed."""
 
     def connection_opened(self) -> None:
-        """A connection is up."""
+        """Handle a newly opened connection."""
 
     def connection_closed(self) -> None:
-        """A connection is closed."""
+        """Handle a closed connection."""
 
     def add_idle(self, connection: UpstreamConnection) -> None:
-        """A connection may be used for another attempt."""
+        """Add a connection that may be used for another attempt."""
 
     def remove_idle(self, connection: UpstreamConnection) -> None:
-        """A connection may not be used any more, if it was idle."""
+        """Remove a connection, if it is idle, so that it is not used again."""
 
 
 class UpstreamConnection(SharedBufferProtocol):
-    """One connection to an endpoint.
+    """A connection to an endpoint.
 
-    The last byte of a request whose method is not safe is deferred until the system has accepted all others:
-    the endpoint can't execute the request without it, and until then the attempt can be ended as not sent.
+    If the method of a request is not safe, its last byte is written only after the kernel has accepted all
+    other bytes. The endpoint cannot execute the request without the last byte, so until then the attempt can
+    still end with `NOT_SENT` and be retried.
     """
 
     def __init__(self, owner: ConnectionOwner) -> None:
@@ -69,36 +70,36 @@
         self._idle_timer: asyncio.TimerHandle | None = None
         self._idle_since_at_s = 0.0
         self._is_request_written = False
-        self._is_write_blocked = False  # the system has not accepted all that was written
-        self._deferred_byte = b""  # the last byte of the request, until it is written
+        self._is_write_blocked = False  # the kernel has not accepted all written bytes
+        self._deferred_byte = b""  # last byte of the request, empty once it is written
         self._was_rejected = False
 
     @property
     def is_usable(self) -> bool:
-        """Whether the connection is up and not closing."""
+        """Whether the connection is established and not closing."""
         return self._transport is not None and not self._transport.is_closing()
 
     @property
     def is_request_written(self) -> bool:
-        """Whether the endpoint may have received the last byte of the request."""
+        """Whether the whole request is written, so that the endpoint may have received its last byte."""
         return self._is_request_written
 
     @property
     def was_rejected(self) -> bool:
-        """Whether the latest response was a rejection."""
+        """Whether the last response on the connection was a rejection."""
         return self._was_rejected
 
     @property
     def idle_since_at_s(self) -> float:
-        """The loop time at which the connection became idle."""
+        """Loop time at which the connection became idle."""
         return self._idle_since_at_s
 
     def is_settled(self, now_s: float) -> bool:
-        """Whether at this loop time no late second response is to be expected any more."""
+        """Return whether the connection has been idle long enough at this loop time to be used again."""
         return self._idle_since_at_s <= now_s - RESPONSE_SETTLE_S
 
     def is_quiet(self) -> bool:
-        """Whether the connection is up and neither unread bytes nor its end wait in the socket."""
+        """Return whether the connection is open and its socket holds neither unread bytes nor an EOF."""
         if self._transport is None or self._transport.is_closing():
             return False
         poll = select.poll()
@@ -106,7 +107,10 @@
         return not poll.poll(0)
 
     def send(self, attempt: UpstreamAttempt) -> None:
-        """Write the request of an attempt, unless it is not wanted any more or too late."""
+        """Write the request of an attempt.
+
+        The attempt ends unsent if its client no longer waits or the deadline for its last byte has passed.
+        """
         if not attempt.is_wanted():
             self._become_idle()
             attempt.stop(Outcome.CANCELLED)
@@ -123,10 +127,10 @@
             self._write_deferred_byte(attempt)
 
     def drop(self) -> None:
-        """Close the connection at once; an attempt on it is not notified."""
+        """Close the connection immediately, without notifying the attempt on it."""
         if self._attempt is not None and self._transport is not None:
-            # The transport closes in the next turn of the loop, but the endpoint has to see the end of this
-            # attempt before the next one is written.
+            # The transport closes the socket only in the next iteration of the event loop. The shutdown makes
+            # the endpoint see the end of this attempt before a retry is written.
             with contextlib.suppress(OSError):
                 self._transport.get_extra_info("socket").shutdown(socket.SHUT_WR)
         self._attempt = None
@@ -136,33 +140,33 @@
             self._transport.abort()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is up."""
+        """Store the transport of the established connection."""
         assert isinstance(transport, asyncio.Transport)
-        # With this limit, resume_writing means that the system has accepted every byte.
+        # With this limit, resume_writing is called only after the kernel has accepted every byte.
         transport.set_write_buffer_limits(high=0)
         self._transport = transport
         self._owner.connection_opened()
 
     def pause_writing(self) -> None:
-        """The system has not accepted all bytes."""
+        """Note that the kernel has not accepted all written bytes."""
         self._is_write_blocked = True
         self._is_request_written = False
 
     def resume_writing(self) -> None:
-        """The system has accepted all bytes."""
+        """Write the deferred byte, since the kernel has accepted all other bytes."""
         self._is_write_blocked = False
         if self._attempt is not None:
             self._write_deferred_byte(self._attempt)
 
     def on_data(self, data: memoryview) -> None:
-        """Read a response; bytes without a request in flight close the connection."""
-        if self._attempt is None:  # they would be taken for the next response
+        """Parse the response to the current request; close the connection if there is no request."""
+        if self._attempt is None:  # the bytes would be mistaken for the next response
             self.drop()
             return
         responses = self._reader.feed(data)
         if responses:
-            # A complete response counts whatever follows it. But the connection can't be used again then:
-            # what follows, even the start of another response, would be taken for the next response.
+            # A complete response is valid whatever follows it. But if anything follows, even the start of
+            # another response, the connection cannot be reused: it would be mistaken for the next response.
             is_only_response = (
                 len(responses) == 1 and not self._reader.has_partial_message and self._reader.error is None
             )
@@ -174,11 +178,11 @@
             self._fail()
 
     def eof_received(self) -> None:
-        """The endpoint has closed its side."""
+        """Close the connection after the endpoint has closed its side."""
         self._fail()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection is closed."""
+        """Release the closed connection and end the attempt on it."""
         self._owner.connection_closed()
         self._fail()
         self._reader.close()
@@ -192,15 +196,19 @@
         self._transport.write(request[:count])
 
     def _write_deferred_byte(self, attempt: UpstreamAttempt) -> None:
-        """Write the deferred byte, if there is one, provided that the attempt is still in time and wanted."""
+        """Write the deferred byte, if there is one, which completes the request.
+
+        The attempt ends with `NOT_SENT` instead if the deadline for the last byte has passed or the client no
+        longer waits.
+        """
         assert self._transport is not None
-        if self._transport.is_closing():  # the write failed: a part of the request was not sent
+        if self._transport.is_closing():  # the write failed, so the request is incomplete
             return
         if self._deferred_byte and not (attempt.is_in_time and attempt.is_wanted()):
             attempt.stop(Outcome.NOT_SENT)
             return
         last_byte, self._deferred_byte = self._deferred_byte, b""
-        self._is_request_written = True  # pause_writing resets it if the system does not accept the byte
+        self._is_request_written = True  # pause_writing resets this if the kernel does not accept the byte
         if last_byte:
             self._transport.write(last_byte)
             self._is_request_written = self._is_request_written and not self._transport.is_closing()
@@ -217,7 +225,10 @@
         attempt.end(outcome, response)
 
     def _become_idle(self) -> None:
-        """Wait for the next attempt, for less time than the endpoint keeps an idle connection open."""
+        """Offer the connection for the next attempt, and start the idle timer.
+
+        The idle timeout is shorter than the time for which the endpoint keeps an idle connection open.
+        """
         if self._idle_timer is None:
             self._idle_since_at_s = self._loop.time()
             self._idle_timer = self._loop.call_later(self._owner.idle_timeout_s, self.drop)
@@ -232,5 +243,5 @@
         attempt, is_request_written = self._attempt, self._is_request_written
         self.drop()
         if attempt is not None:
-            # Before its last byte is written the endpoint can't have executed the request.
+            # The endpoint cannot have executed a request whose last byte was not written.
             attempt.end(Outcome.RESET if is_request_written else Outcome.CONNECT_FAILED)
--- a/http_gateway/net/upstream/endpoint_connections.py
+++ b/http_gateway/net/upstream/endpoint_connections.py
@@ -1,4 +1,4 @@
-"""The connections to one endpoint: idle ones, and those that are being established."""
+"""Management of the idle connections to one endpoint and of its connects in progress."""
 
 from __future__ import annotations
 
@@ -14,14 +14,20 @@
 
 
 class ConnectionTimeouts(NamedTuple):
-    """Time limits of connections, in seconds."""
+    """Timeouts in seconds for opening a connection and for an idle connection."""
 
     connect_s: float
     idle_s: float
 
 
 class EndpointConnections:
-    """The connections to one endpoint of the list, until it drains, restarts or is removed."""
+    """The connections to one endpoint, used until the endpoint drains, restarts or is removed.
+
+    Args:
+        entry: the endpoint as the endpoint list describes it.
+        timeouts: timeouts of the connections.
+        descriptors: counts the connections to all endpoints.
+    """
 
     def __init__(
         self, entry: EndpointEntry, timeouts: ConnectionTimeouts, descriptors: DescriptorCount
@@ -30,17 +36,17 @@
         self._timeouts = timeouts
         self._descriptors = descriptors
         self._is_ready = True
-        self._idle: list[UpstreamConnection] = []  # the most recently used last
+        self._idle: list[UpstreamConnection] = []  # ordered by last use, the most recent last
         self._connecting: set[UpstreamAttempt] = set()
 
     @property
     def endpoint_id(self) -> EndpointId:
-        """The endpoint that is connected to."""
+        """Id of the endpoint."""
         return self._entry.endpoint.id
 
     @property
     def is_ready(self) -> bool:
-        """Whether the endpoint may get another request."""
+        """Whether new requests may be sent to the endpoint."""
         return self._is_ready
 
     @property
@@ -50,13 +56,14 @@
 
     @property
     def idle(self) -> list[UpstreamConnection]:
-        """The idle connections, the most recently used last."""
+        """The idle connections, ordered by last use, the most recent last."""
         return self._idle.copy()
 
     def can_serve(self, entry: EndpointEntry) -> bool:
-        """Whether the connections lead to the endpoint as this entry describes it.
+        """Return whether the connections are still valid for the endpoint that this entry describes.
 
-        After a restart the old connections lead nowhere, even if they were never reset.
+        They are invalid if the endpoint drains, has another address or has restarted. Connections to a
+        process that has restarted are dead even if no reset was received.
         """
         return (
             entry.endpoint.state is EndpointState.READY
@@ -65,27 +72,31 @@
         )
 
     def connection_opened(self) -> None:
-        """A connection is up."""
+        """Count a connection that has been opened."""
         self._descriptors.connection_opened()
 
     def connection_closed(self) -> None:
-        """A connection is closed."""
+        """Stop counting a connection that has been closed."""
         self._descriptors.connection_closed()
 
     def add_idle(self, connection: UpstreamConnection) -> None:
-        """A connection may be used for another attempt."""
+        """Add a connection that may be used for another attempt."""
         self._idle.append(connection)
 
     def remove_idle(self, connection: UpstreamConnection) -> None:
-        """A connection may not be used any more, if it was idle."""
+        """Remove a connection, if it is idle, so that it is not used again."""
         if connection in self._idle:
             self._idle.remove(connection)
 
     def take_idle(self, attempt: UpstreamAttempt) -> UpstreamConnection | None:
-        """Take the most recently used connection: it is the least likely to have been closed meanwhile.
+        """Take the most recently used idle connection, which is the least likely to have been closed.
+
+        A connection is skipped for an attempt without a safe method if the last response on it was a
+        rejection. The endpoint may send the rejection a second time, and the request would then be retried
+        although the endpoint executes it. Such an attempt uses a new connection instead.
 
-        Where the latest response was a rejection, the endpoint may send it a second time: a request that must
-        not be executed twice would then be retried though it is executed, and gets a new connection instead.
+        Returns:
+            None if no idle connection can be used.
         """
         rejected = None
         now_s = asyncio.get_running_loop().time()
@@ -99,18 +110,22 @@
             if connection.is_quiet():
                 return connection
             connection.drop()
-        if rejected is not None:  # in place of the new connection
+        if rejected is not None:  # the new connection replaces it, so that such connections do not accumulate
             rejected.drop()
         return None
 
     def start_connecting(self, attempt: UpstreamAttempt) -> None:
-        """Open a connection for this attempt, which owns the task that does so."""
+        """Open a connection for an attempt, in a task that the attempt owns."""
         self._descriptors.connect_started()
         self._connecting.add(attempt)
         attempt.connect(self._connect(attempt), on_done=lambda: self._connect_done(attempt))
 
     def close(self) -> None:
-        """Stop using the endpoint; attempts in flight on a connection are waited for."""
+        """Stop sending requests to the endpoint.
+
+        Idle connections are closed, and attempts that are still connecting end with `NOT_SENT`. Attempts in
+        flight on a connection continue until they end.
+        """
         self._is_ready = False
         for connection in self._idle.copy():
             connection.drop()
@@ -124,11 +139,11 @@
                     lambda: UpstreamConnection(self), *self._entry.address
                 )
         except (OSError, TimeoutError):
-            return  # an attempt without a connection ends as one that failed to connect
+            return  # the attempt ends with CONNECT_FAILED when this task is done
         self._connecting.discard(attempt)
         if attempt.has_ended:
             connection.drop()
-        elif connection.is_usable:  # one that is reset at once would not report its end
+        elif connection.is_usable:  # a connection that is already reset would not end the attempt
             connection.send(attempt)
 
     def _connect_done(self, attempt: UpstreamAttempt) -> None:
--- a/http_gateway/net/upstream/outcome.py
+++ b/http_gateway/net/upstream/outcome.py
@@ -1,4 +1,4 @@
-"""Maps responses of endpoints to the outcomes that the policy knows."""
+"""Mapping from responses of endpoints to the outcomes that the policy distinguishes."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 def response_outcome(response: Message) -> Outcome:
-    """The outcome of an attempt that ended with this response."""
+    """Return the outcome of an attempt that ended with this response."""
     if response.status == HTTPStatus.OK:
         return Outcome.OK
     if response.status in _REJECTION_STATUSES and response.header(b"x-not-run") == "1":
         return Outcome.REJECTED
-    # Without the header even a 503 may have been sent after the request was executed.
+    # Without the header x-not-run, even a 503 does not prove that the request was not executed.
     return Outcome.ERROR
--- a/http_gateway/net/upstream/pool.py
+++ b/http_gateway/net/upstream/pool.py
@@ -1,4 +1,4 @@
-"""The endpoints of the list, and the connections to them."""
+"""The pool of connections to the endpoints of the endpoint list."""
 
 from __future__ import annotations
 
@@ -16,16 +16,18 @@
 
 log = logging.getLogger(__name__)
 
-# Seconds before the endpoint's own limit at which an idle connection is closed: a request must not cross the
-# endpoint's close.
+# Idle connections are closed this many seconds before the endpoint's idle timeout. Otherwise a request could
+# be sent while the endpoint closes the connection.
 IDLE_TIMEOUT_MARGIN_S = 2.0
 
 
 class UpstreamPool:
-    """The endpoints that may be used, and the connections to them.
+    """The connections to all endpoints that may receive requests.
 
-    `connect_timeout_s` limits a connect; `idle_timeout_s` is how long an endpoint keeps an idle connection
-    open; there are `max_connections` connections at most.
+    Args:
+        connect_timeout_s: seconds within which a connection has to be established.
+        idle_timeout_s: seconds for which an endpoint keeps an idle connection open.
+        max_connections: maximum number of connections to all endpoints together.
     """
 
     def __init__(self, connect_timeout_s: float, idle_timeout_s: float, max_connections: int) -> None:
@@ -36,21 +38,21 @@
 
     @property
     def open_descriptors(self) -> int:
-        """The file descriptors in use, at most."""
+        """Upper bound on the file descriptors in use."""
         return self._descriptors.open_descriptors
 
     @property
     def connection_count(self) -> int:
-        """The connections that are up."""
+        """Number of open connections."""
         return self._descriptors.connection_count
 
     @property
     def connecting_count(self) -> int:
-        """The connects in progress."""
+        """Number of connects in progress."""
         return self._descriptors.connecting_count
 
     def idle_connections(self, endpoint_id: EndpointId) -> list[UpstreamConnection]:
-        """The idle connections to an endpoint, the most recently used last.
+        """Return the idle connections to an endpoint, ordered by last use, the most recent last.
 
         Raises:
             KeyError: if the endpoint is not in use.
@@ -58,7 +60,15 @@
         return self._endpoints[endpoint_id].idle
 
     def update_endpoints(self, entries: Iterable[EndpointEntry], is_complete: bool) -> None:
-        """Apply an endpoint list; an endpoint that drains or is removed gets nothing more from now on."""
+        """Apply an endpoint list.
+
+        An endpoint that drains or is removed gets no new attempt. After a restart or a change of address, an
+        endpoint gets new attempts on new connections only.
+
+        Args:
+            entries: the listed endpoints.
+            is_complete: whether endpoints that are not listed are removed.
+        """
         listed = {entry.endpoint.id: entry for entry in entries}
         if is_complete:
             for endpoint_id in [known for known in self._endpoints if known not in listed]:
@@ -79,18 +89,19 @@
         is_wanted: Callable[[], bool] = lambda: True,
         last_byte_before_s: float = math.inf,
     ) -> UpstreamAttempt | None:
-        """Start an attempt; it may end before this returns.
+        """Start an attempt, which may end before this method returns.
 
         Args:
-            endpoint_id: the endpoint to use.
+            endpoint_id: the endpoint to send the request to.
             request: the client's request.
-            expires_at_s: loop time at which the client stops waiting; the endpoint is notified of it.
-            on_end: called once with the outcome, unless None is returned.
-            is_wanted: whether the client still waits; checked right before bytes are written.
-            last_byte_before_s: loop time before which the last byte has to be written.
+            expires_at_s: loop time at which the client stops waiting; sent to the endpoint as the remaining
+                time in the header `x-deadline`.
+            on_end: called exactly once with the outcome, unless None is returned.
+            is_wanted: whether the client still waits; called right before bytes are written.
+            last_byte_before_s: loop time before which the last byte of the request has to be written.
 
         Returns:
-            None if the endpoint is not in use, or the limit on connections is reached.
+            The attempt, or None if the endpoint is not in use or the connection limit is reached.
         """
         endpoint = self._endpoints.get(endpoint_id)
         if endpoint is None:
@@ -115,7 +126,7 @@
         self._endpoints.pop(endpoint_id).close()
 
     def _close_longest_idle(self) -> bool:
-        """Close the connection that has been idle the longest; return whether there was one."""
+        """Close the connection that has been idle the longest, and return whether there was one."""
         idle = [connection for endpoint in self._endpoints.values() for connection in endpoint.idle]
         if idle:
             min(idle, key=lambda connection: connection.idle_since_at_s).drop()
