--- a/tests/integration/test_last_byte.py
+++ b/tests/integration/test_last_byte.py
@@ -1,4 +1,8 @@
-"""The last byte of a request that must not be executed twice is written in time or not at all."""
+"""Tests of the deadline for the last byte of a request whose method is not safe.
+
+If the last byte is written after the deadline, the endpoint may execute the request a second time, outside
+the deduplication window.
+"""
 
 from __future__ import annotations
 
@@ -21,14 +25,14 @@
 
 @async_test
 async def test_request_is_complete_with_its_deferred_last_byte() -> None:
-    """The request is sent in two writes, the second of one byte."""
+    """The request is sent in two writes, and the second one contains only the last byte."""
     async with start_peers(respond_with()) as (endpoint,):
         assert (await AttemptDriver(endpoint.port).run(CHAPTER_ADD)).outcome is Outcome.OK
         assert endpoint.requests[0].body == CHAPTER_ADD.body
 
 
 @async_test
-async def test_request_that_is_written_too_slowly_is_ended_in_time_as_not_sent() -> None:
+async def test_request_not_written_by_the_last_byte_deadline_ends_as_not_sent() -> None:
     endpoint = SlowReadingEndpoint()
     loop = asyncio.get_running_loop()
     started_at_s = loop.time()
@@ -40,19 +44,22 @@
 
 
 @async_test
-async def test_last_byte_is_not_written_late_by_a_late_event_loop() -> None:
-    """The endpoint reads on as the time ends, and the loop handles both in one turn, the reading first."""
+async def test_last_byte_is_not_written_when_the_event_loop_is_delayed_past_the_deadline() -> None:
+    """The socket becomes writable before the deadline timer of the attempt is handled.
+
+    The event loop is blocked past the deadline. It then handles both in one iteration, the socket first.
+    """
     endpoint = SlowReadingEndpoint()
     driver = endpoint.driver
     loop = asyncio.get_running_loop()
     last_byte_before_s = loop.time() + 1.0
     endpoint_socket = await endpoint.accept_request(20_000, last_byte_before_s)
     await wait_until(lambda: driver.pool.connection_count and not driver.pool.connecting_count)
-    # From now on the system would accept all remaining bytes at once.
+    # With this buffer size the kernel accepts all remaining bytes at once.
     endpoint.gateway_socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, LARGE_BUFFER_BYTES)
     endpoint_socket.settimeout(0.05)
     received = b""
-    while loop.time() < last_byte_before_s + 0.1:  # the loop is blocked while the system's buffers drain
+    while loop.time() < last_byte_before_s + 0.1:  # blocks the event loop while the kernel buffers drain
         try:
             received += endpoint_socket.recv(65536)
         except TimeoutError:
@@ -66,7 +73,7 @@
 
 @async_test
 async def test_last_byte_is_not_written_for_a_disconnected_client() -> None:
-    """It disconnected while the endpoint read nothing, and the gateway has not been notified yet."""
+    """The client disconnects during the write, and the event loop has not reported the disconnect yet."""
     endpoint = SlowReadingEndpoint()
     endpoint_socket = await endpoint.accept_request(20_000, math.inf)
     await wait_until(lambda: endpoint.attempt.connection)
--- a/tests/integration/test_upstream_endpoints.py
+++ b/tests/integration/test_upstream_endpoints.py
@@ -1,4 +1,4 @@
-"""What becomes of connections and attempts when the endpoint list changes or a limit is reached."""
+"""Tests of connections and attempts when the endpoint list changes or the connection limit is reached."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 async def test_attempt_still_connecting_to_a_draining_endpoint_is_not_sent() -> None:
     async with start_peers(respond_with()) as (endpoint,):
         driver = AttemptDriver(endpoint.port)
-        driver.start()  # it connects in a later turn of the loop
+        driver.start()  # connects in a later iteration of the event loop
         driver.drain_endpoint()
         assert [end.outcome for end in driver.ends] == [Outcome.NOT_SENT]
         await driver.wait_until_disconnected()
@@ -41,7 +41,7 @@
 
 @async_test
 async def test_attempt_still_connecting_to_a_restarted_endpoint_is_not_sent() -> None:
-    """It was started for a warm endpoint; the new process at the same address is in slow start."""
+    """The policy chose the endpoint before its restart, and the new process is in slow start."""
     async with start_peers(respond_with()) as (endpoint,):
         driver = AttemptDriver(endpoint.port)
         driver.start()
@@ -62,7 +62,7 @@
 
 
 @async_test
-async def test_attempt_in_flight_at_a_draining_endpoint_is_waited_for() -> None:
+async def test_attempt_in_flight_at_a_draining_endpoint_completes() -> None:
     async with start_peers(never_respond) as (endpoint,):
         driver = AttemptDriver(endpoint.port)
         driver.start()
@@ -86,7 +86,7 @@
             outcomes.append(outcome)
 
         expires_at_s = asyncio.get_running_loop().time() + 30
-        for _ in range(2):  # the second attempt finds no connection that is idle
+        for _ in range(2):  # the second attempt finds no idle connection to close
             attempt = driver.pool.start_attempt(
                 endpoint_id(other.name), PAGE_READ, expires_at_s, record_outcome
             )
@@ -99,7 +99,7 @@
 
 @async_test
 async def test_attempt_beyond_the_connection_limit_does_not_end_a_second_time() -> None:
-    """Its limit for the last byte passes after the pool has declined it."""
+    """The deadline for its last byte passes after the pool has refused to start it."""
     async with start_peers(respond_with()) as (endpoint,):
         driver = AttemptDriver(endpoint.port, max_connections=0)
         last_byte_before_s = asyncio.get_running_loop().time() + 0.05
--- a/tests/integration/test_upstream_outcomes.py
+++ b/tests/integration/test_upstream_outcomes.py
@@ -1,4 +1,4 @@
-"""How an attempt ends: every row of the outcome table."""
+"""Tests of the outcome of an attempt for each response or connection failure of an endpoint."""
 
 from __future__ import annotations
 
@@ -62,7 +62,7 @@
         (respond_with(400), Outcome.ERROR),
         (respond_with(503, X_Not_Run="1"), Outcome.REJECTED),
         (respond_with(504, X_Not_Run="1"), Outcome.REJECTED),
-        (respond_with(503), Outcome.ERROR),  # nothing proves that it was not executed
+        (respond_with(503), Outcome.ERROR),  # without x-not-run the request may have been executed
         (respond_with(504), Outcome.ERROR),
         (respond_with(500, X_Not_Run="1"), Outcome.ERROR),
         (reset_connection, Outcome.RESET),
@@ -120,7 +120,7 @@
 @async_test
 async def test_refused_connection_is_a_connect_failure() -> None:
     with socket.socket() as unused:
-        unused.bind(("127.0.0.1", 0))  # bound, but it does not listen
+        unused.bind(("127.0.0.1", 0))  # bound but not listening, so connects are refused
         driver = AttemptDriver(unused.getsockname()[1])
         assert (await driver.run()).outcome is Outcome.CONNECT_FAILED
 
@@ -131,7 +131,7 @@
         listener = stack.enter_context(socket.socket())
         listener.bind(("127.0.0.1", 0))
         listener.listen(0)
-        for _ in range(3):  # a full backlog drops further connects, as an unreachable endpoint does
+        for _ in range(3):  # the kernel drops further connects when the backlog is full
             other = stack.enter_context(socket.socket())
             other.setblocking(False)
             other.connect_ex(listener.getsockname())
@@ -153,7 +153,7 @@
     create_connection = loop.create_connection
 
     async def connect_and_wait_for_reset(*args: Any) -> Any:
-        """The reset is handled before the task that connects continues."""
+        """Connect, then wait until the reset is handled before the connecting task continues."""
         connected = await create_connection(*args)
         await wait_until(lambda: driver.pool.connection_count == 0)
         return connected
@@ -166,8 +166,11 @@
 
 @pytest.mark.parametrize("body_bytes", [40_000, 32 * 1024 * 1024])
 @async_test
-async def test_reset_before_the_request_is_written_is_a_connect_failure(body_bytes: int) -> None:
-    """The endpoint received a part of the request, whether few or many bytes were not sent."""
+async def test_reset_before_the_request_is_completely_written_is_a_connect_failure(body_bytes: int) -> None:
+    """The endpoint received only a part of the request, so it cannot have executed it.
+
+    With the small body only a few bytes are missing, with the large one most of them.
+    """
     listener = socket.socket()
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SMALL_BUFFER_BYTES)
     listener.bind(("127.0.0.1", 0))
@@ -175,7 +178,7 @@
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.read(1000)
-        await respond_with()(PAGE_READ, writer)  # the first request is small, and gets its response
+        await respond_with()(PAGE_READ, writer)  # the first request is small and is answered
         await reader.read(1000)
         writer.transport.pause_reading()  # type: ignore[attr-defined]
         await may_reset.wait()
@@ -196,8 +199,8 @@
 
 
 @async_test
-async def test_reset_during_the_write_is_a_connect_failure(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The reset arrives between the check of an idle connection and the write: no byte is sent."""
+async def test_reset_just_before_the_write_is_a_connect_failure(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The reset arrives after the check of the idle connection and before the write, so no byte is sent."""
     loop = asyncio.get_running_loop()
     with socket.create_server(("127.0.0.1", 0)) as listener:
         listener.setblocking(False)
--- a/tests/integration/test_upstream_races.py
+++ b/tests/integration/test_upstream_races.py
@@ -1,4 +1,4 @@
-"""Connections to endpoints: events in an order that is forced on real connections."""
+"""Tests of race conditions on connections to endpoints, with a forced order of events."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
         gateway.dispatcher.update_endpoints(endpoint_list(*draining, complete=False))
         ended = [event.request_id for event in events if isinstance(event, AttemptEnded)]
         assert ended
-        assert len(ended) == len(set(ended))  # none ended at two endpoints
+        assert len(ended) == len(set(ended))  # no request had attempts end at two endpoints
         connects.allow.set()
         for client in clients:
             client.setblocking(False)
@@ -61,7 +61,10 @@
 async def test_connection_established_after_its_attempt_ended_is_not_used(
     monkeypatch: pytest.MonkeyPatch, drains: bool
 ) -> None:
-    """In that moment its endpoint drains, or the request reaches its deadline."""
+    """The endpoint drains, or the request reaches its deadline, right after the connection is established.
+
+    The connecting task must then close the connection without sending the request.
+    """
     async with (
         start_peers(respond_with()) as (endpoint,),
         running_gateway(endpoint.endpoint_entry()) as gateway,
@@ -85,8 +88,11 @@
 
 @pytest.mark.parametrize("first", ["response", "deadline"])
 @async_test
-async def test_response_and_deadline_in_one_turn_make_one_response(first: str) -> None:
-    """A connection whose response came too late is not used again: the response is still unread in it."""
+async def test_response_and_deadline_in_one_loop_iteration_cause_one_response(first: str) -> None:
+    """A request is answered once even if its response and its deadline coincide.
+
+    If the deadline comes first, the connection is not used again, because it still holds the unread response.
+    """
     async with (
         start_peers(never_respond) as (endpoint,),
         running_gateway(endpoint.endpoint_entry()) as gateway,
@@ -101,7 +107,7 @@
             assert isinstance(attempt.connection, UpstreamConnection)
             attempt.connection.on_data(memoryview(PAGE_RESPONSE))
         else:
-            endpoint.request_writers[0].write(PAGE_RESPONSE)  # received, but not read
+            endpoint.request_writers[0].write(PAGE_RESPONSE)  # received by the kernel but not read
         expire_request(gateway.dispatcher, 1)
         response = await client.response()
         assert response.status == (200 if first == "response" else 502)
@@ -115,7 +121,11 @@
 async def test_endpoint_sees_the_end_of_an_attempt_before_the_retry_is_sent(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The endpoint keeps its side open: where hedging is not allowed, two attempts would be in flight."""
+    """The endpoint keeps its side of the connection open after a malformed response.
+
+    If the gateway sent the retry before closing its own side, two attempts would be in flight although
+    hedging is not allowed.
+    """
 
     async def respond_malformed(request: Message, writer: asyncio.StreamWriter) -> None:
         writer.write(b"what?\r\n\r\n")
--- a/tests/integration/test_upstream_reuse.py
+++ b/tests/integration/test_upstream_reuse.py
@@ -1,4 +1,4 @@
-"""Which connections are used for another attempt."""
+"""Tests of which idle connections are used for another attempt."""
 
 from __future__ import annotations
 
@@ -96,7 +96,7 @@
 @pytest.mark.parametrize("unread", [b"", PAGE_RESPONSE])
 @async_test
 async def test_connection_with_unread_bytes_or_end_is_not_used_again(unread: bytes) -> None:
-    """Its end, or a second copy of the response, is in the socket, but the loop has not read it yet."""
+    """An EOF or a second copy of the response is in the socket, but the event loop has not read it yet."""
     async with start_peers(respond_with(body=b"good")) as (endpoint,):
         driver = AttemptDriver(endpoint.port)
         await driver.run()
@@ -129,7 +129,7 @@
     "excess", [b"\x00\r\nnoise", PAGE_RESPONSE, b"HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n"]
 )
 @async_test
-async def test_complete_response_counts_but_excess_bytes_end_its_connection(excess: bytes) -> None:
+async def test_complete_response_is_used_but_excess_bytes_close_its_connection(excess: bytes) -> None:
     async def script(request: Message, writer: asyncio.StreamWriter) -> None:
         writer.write(PAGE_RESPONSE + (excess if len(endpoint.requests) == 1 else b""))
 
@@ -141,7 +141,7 @@
 
 
 @async_test
-async def test_response_with_connection_close_ends_its_connection() -> None:
+async def test_response_with_connection_close_closes_its_connection() -> None:
     async def script(request: Message, writer: asyncio.StreamWriter) -> None:
         writer.write(b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
 
@@ -152,8 +152,13 @@
 
 
 @async_test
-async def test_late_second_response_is_not_taken_for_another_request(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A response does not name its request; this one arrives while the next request is in flight."""
+async def test_late_second_response_is_not_matched_to_another_request(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """The second response arrives while the next request is in flight.
+
+    HTTP/1.1 responses do not identify their request, so it must not arrive on the connection of that request.
+    """
     monkeypatch.setattr(connection, "RESPONSE_SETTLE_S", 60.0)
 
     async def script(request: Message, writer: asyncio.StreamWriter) -> None:
@@ -162,7 +167,8 @@
             endpoint.request_writers[0].write(PAGE_RESPONSE.replace(b"page", b"late"))
             if writer is endpoint.request_writers[0]:
                 return
-            await wait_until(lambda: endpoint.closed)  # the gateway has read it and closed the connection
+            # The gateway has read the late response and closed its connection.
+            await wait_until(lambda: endpoint.closed)
 
     async with (
         start_peers(script) as (endpoint,),
@@ -176,16 +182,16 @@
 
 
 @async_test
-async def test_second_copy_of_a_rejection_is_not_taken_for_another_request(
+async def test_second_copy_of_a_rejection_is_not_matched_to_another_request(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """By the copy, a request that must not be executed twice would be retried at another endpoint."""
+    """The copy would cause a retry of a request that the endpoint executes, so that it is executed twice."""
     monkeypatch.setattr(connection, "RESPONSE_SETTLE_S", 0.0)
 
     async def script(request: Message, writer: asyncio.StreamWriter) -> None:
         if writer is endpoint.request_writers[0]:
             await REJECT(request, writer)
-        await respond_with()(request, writer)  # the request is executed, even after the copy
+        await respond_with()(request, writer)  # executes the request, even after sending the copy
 
     async with start_peers(REJECT) as (endpoint,):
         driver = AttemptDriver(endpoint.port)
--- a/tests/support/upstream.py
+++ b/tests/support/upstream.py
@@ -1,4 +1,4 @@
-"""Helpers for tests of connections to endpoints, with and without a dispatcher."""
+"""Helpers for tests of upstream connections, with and without a request dispatcher."""
 
 from __future__ import annotations
 
@@ -29,19 +29,26 @@
 
 
 def chapter_add(body_bytes: int) -> Message:
-    """A request that is not safe, with a body of this size."""
+    """Return a request with an unsafe method and a body of this many bytes."""
     return Message(b"POST", b"/chapter-add", headers=CHAPTER_ADD.headers, body=bytes(body_bytes))
 
 
 class AttemptEnd(NamedTuple):
-    """How an attempt ended."""
+    """The outcome of an attempt, and its response if there is one."""
 
     outcome: Outcome
     response: Message | None
 
 
 class AttemptDriver:
-    """Makes attempts at one endpoint without a dispatcher, and records how each ended."""
+    """Starts attempts at one endpoint without a dispatcher, and records their outcomes.
+
+    Args:
+        port: port of the endpoint on 127.0.0.1.
+        idle_timeout_s: seconds for which the endpoint keeps an idle connection open.
+        max_connections: limit on the connections of the pool.
+        connect_timeout_s: seconds within which a connection has to be established.
+    """
 
     def __init__(
         self,
@@ -57,18 +64,18 @@
         self.update_endpoint()
 
     def update_endpoint(self, **fields: Any) -> None:
-        """Apply an endpoint list that has the endpoint with these fields."""
+        """Apply an endpoint list in which the endpoint has these fields."""
         entry = EndpointEntry(Endpoint(ENDPOINT_ID, **fields), ("127.0.0.1", self._port))
         self.pool.update_endpoints([entry], is_complete=False)
 
     def drain_endpoint(self) -> None:
-        """Apply an endpoint list by which the endpoint drains."""
+        """Apply an endpoint list in which the endpoint is draining."""
         self.update_endpoint(state=EndpointState.DRAINING)
 
     def start(
         self, request: Message = PAGE_READ, last_byte_before_s: float = math.inf
     ) -> UpstreamAttempt | None:
-        """Start an attempt."""
+        """Start an attempt; return None if the pool does not start it."""
         return self.pool.start_attempt(
             ENDPOINT_ID,
             request,
@@ -79,7 +86,7 @@
         )
 
     async def run(self, request: Message = PAGE_READ) -> AttemptEnd:
-        """Make an attempt on a connection that may be used again, or a new one; return how it ended."""
+        """Wait until idle connections may be used again, start an attempt and return its end."""
         count = len(self.ends)
         await self.settle()
         assert self.start(request) is not None
@@ -87,14 +94,14 @@
         return self.ends[-1]
 
     async def run_and_read_body(self, request: Message = PAGE_READ) -> bytes:
-        """Make an attempt that is served; return the body of its response."""
+        """Run an attempt that has to succeed, and return the body of its response."""
         end = await self.run(request)
         assert end.outcome is Outcome.OK
         assert end.response is not None
         return end.response.body
 
     async def wait_for_ends(self, count: int) -> None:
-        """Wait until this many attempts have ended."""
+        """Wait until this many attempts have ended in total."""
         await wait_until(lambda: len(self.ends) == count)
 
     async def settle(self) -> None:
@@ -102,11 +109,11 @@
         await wait_until_settled(self.pool, ENDPOINT_ID)
 
     async def wait_until_disconnected(self) -> None:
-        """Wait until there is no connection to the endpoint any more."""
+        """Wait until all connections to the endpoint are closed."""
         await wait_until(lambda: self.pool.open_descriptors == 0)
 
     def idle_transport(self) -> asyncio.Transport:
-        """The transport of the only idle connection."""
+        """Return the transport of the only idle connection."""
         (connection,) = self.pool.idle_connections(ENDPOINT_ID)
         assert connection._transport is not None
         return connection._transport
@@ -116,7 +123,7 @@
 
 
 class SlowReadingEndpoint:
-    """An endpoint that reads nothing by itself, with small buffers on both sides of its connection."""
+    """An endpoint that does not read from its connection, which has small buffers on both sides."""
 
     def __init__(self) -> None:
         self._listener = socket.socket()
@@ -129,7 +136,7 @@
         self.gateway_socket: socket.socket
 
     async def accept_request(self, body_bytes: int, last_byte_before_s: float) -> socket.socket:
-        """Start an attempt whose request is accepted in part only; return the endpoint's socket."""
+        """Start an attempt whose request does not fit into the buffers; return the endpoint's socket."""
         loop = asyncio.get_running_loop()
         create_connection = loop.create_connection
 
@@ -148,7 +155,7 @@
 
 
 async def read_to_end(peer_socket: socket.socket) -> bytes:
-    """All bytes until the connection is closed or reset."""
+    """Read all bytes until the connection is closed or reset."""
     received, loop = b"", asyncio.get_running_loop()
     try:
         while data := await loop.sock_recv(peer_socket, 65536):
@@ -159,7 +166,7 @@
 
 
 class DelayedConnects:
-    """Connections to these endpoints are established only after `allow` is set."""
+    """Delays all connects to these endpoints until `allow` is set."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, *peers: LoopbackPeer) -> None:
         self.allow = asyncio.Event()
@@ -178,7 +185,7 @@
 
 
 async def wait_until_settled(pool: UpstreamPool, endpoint_id: EndpointId) -> None:
-    """Wait until every connection to an endpoint that is idle now may be used again."""
+    """Wait until all connections to an endpoint that are idle now may be used again."""
     loop = asyncio.get_running_loop()
     idle = pool.idle_connections(endpoint_id)
     await wait_until(lambda: all(connection.is_settled(loop.time()) for connection in idle))
@@ -190,7 +197,7 @@
 
 
 def expire_request(dispatcher: RequestDispatcher, request_id: RequestId) -> None:
-    """Reach the deadline of a request now, as if its timer had run."""
+    """Make a request reach its deadline now, as if its deadline timer had fired."""
     request = dispatcher._requests.get(request_id)
     if request is not None:
         request.deadline_at_us = 0
