--- a/tests/integration/test_policy_faults.py
+++ b/tests/integration/test_policy_faults.py
@@ -1,4 +1,7 @@
-"""The dispatcher when the policy raises, decides too late, or does not decide."""
+"""Tests of the dispatcher when the policy fails.
+
+The policy raises an exception, returns actions for a request that is already answered, or returns no actions.
+"""
 
 from __future__ import annotations
 
@@ -16,11 +19,13 @@
 
 
 class InjectedFaultError(Exception):
-    """A fault that a test makes the policy raise."""
+    """Exception that a test makes the policy raise."""
 
 
 @async_test
-async def test_fault_in_one_request_fails_it_and_no_other(caplog: pytest.LogCaptureFixture) -> None:
+async def test_policy_exception_fails_only_the_request_that_caused_it(
+    caplog: pytest.LogCaptureFixture,
+) -> None:
     async with (
         start_peers(respond_with()) as (endpoint,),
         running_gateway(endpoint.endpoint_entry()) as gateway,
@@ -39,7 +44,7 @@
 
 
 @async_test
-async def test_fault_at_the_end_of_an_attempt_fails_its_request_at_once() -> None:
+async def test_policy_exception_at_the_end_of_an_attempt_fails_its_request_at_once() -> None:
     async with (
         start_peers(respond_with(500)) as (endpoint,),
         running_gateway(endpoint.endpoint_entry()) as gateway,
@@ -58,7 +63,7 @@
 
 @async_test
 async def test_nothing_is_sent_after_the_final_response() -> None:
-    """A decision that comes too late reaches neither an endpoint nor the client."""
+    """Actions for a request that is already answered reach neither an endpoint nor the client."""
     async with (
         start_peers(respond_with()) as (endpoint,),
         running_gateway(endpoint.endpoint_entry()) as gateway,
@@ -66,7 +71,7 @@
         handle = gateway.balancer.handle
         ended: list[Outcome] = []
 
-        def decide_after_the_response(event: Event, now_us: int) -> list[Action]:
+        def add_actions_after_response(event: Event, now_us: int) -> list[Action]:
             if isinstance(event, AttemptEnded):
                 ended.append(event.outcome)
             actions = handle(event, now_us)
@@ -79,11 +84,11 @@
                 FailRequest(event.request_id),
             ]
 
-        gateway.balancer.handle = decide_after_the_response  # type: ignore[method-assign]
+        gateway.balancer.handle = add_actions_after_response  # type: ignore[method-assign]
         client = await gateway.connect()
         assert (await client.request()).status == 503
         await wait_until(lambda: not gateway.dispatcher.in_flight_count)
-        # The first attempt was still connecting, and the second was not started.
+        # The first attempt was still connecting and is cancelled. The second one is not started.
         assert ended == [Outcome.NOT_SENT, Outcome.CANCELLED]
         gateway.frontend.stop_accepting()
         assert await client.read_until_closed() == b""
--- a/tests/integration/test_request_dispatcher.py
+++ b/tests/integration/test_request_dispatcher.py
@@ -1,4 +1,9 @@
-"""The four rules of forwarding on sockets, deadlines, and clients that disconnect."""
+"""Tests of the request dispatcher with a gateway and endpoints on loopback sockets.
+
+They guard the forwarding rules: each request is answered exactly once, a request that may have been executed
+is not retried unless that is safe, draining or removed endpoints get no new request, and endpoints in slow
+start get a small share. They also cover deadlines and clients that disconnect.
+"""
 
 from __future__ import annotations
 
@@ -69,7 +74,10 @@
 async def test_request_without_a_response_is_answered_once_at_its_deadline(
     class_name: str, status: int
 ) -> None:
-    """Rule 1; a purchase that was possibly executed fails: shedding it would invite a second purchase."""
+    """A request that may have been executed must fail rather than be shed.
+
+    A 503 would invite the client to retry, and an at-most-once request could then be executed twice.
+    """
     async with (
         start_peers(never_respond) as (endpoint,),
         running_gateway(endpoint.endpoint_entry()) as gateway,
@@ -86,7 +94,7 @@
 
 
 @async_test
-async def test_timeout_of_the_policy_ends_before_the_client_s() -> None:
+async def test_policy_timeout_is_shorter_than_the_client_timeout() -> None:
     async with (
         start_peers(respond_with()) as (endpoint,),
         running_gateway(endpoint.endpoint_entry()) as gateway,
@@ -98,13 +106,13 @@
 
 
 @async_test
-async def test_purchase_still_connecting_at_its_deadline_is_shed() -> None:
-    """No endpoint received it, so that the client may retry."""
+async def test_at_most_once_request_still_connecting_at_its_deadline_is_shed() -> None:
+    """No endpoint received the request, so the client may retry it."""
     with contextlib.ExitStack() as stack:
         listener = stack.enter_context(socket.socket())
         listener.bind(("127.0.0.1", 0))
         listener.listen(0)
-        for _ in range(3):  # a full backlog drops further connects
+        for _ in range(3):  # the kernel drops further connects when the backlog is full
             other = stack.enter_context(socket.socket())
             other.setblocking(False)
             other.connect_ex(listener.getsockname())
@@ -114,8 +122,8 @@
 
 
 @async_test
-async def test_possibly_executed_purchase_is_not_retried() -> None:
-    """Rule 2."""
+async def test_possibly_executed_at_most_once_request_is_not_retried() -> None:
+    """A retry could execute the request twice."""
     async with (
         start_peers(reset_connection, reset_connection) as endpoints,
         running_gateway(*(endpoint.endpoint_entry() for endpoint in endpoints)) as gateway,
@@ -125,7 +133,7 @@
 
 
 @async_test
-async def test_rejected_purchase_is_retried_on_another_endpoint() -> None:
+async def test_rejected_at_most_once_request_is_retried_on_another_endpoint() -> None:
     async with (
         start_peers(REJECT, respond_with()) as endpoints,
         running_gateway(*(endpoint.endpoint_entry() for endpoint in endpoints)) as gateway,
@@ -135,7 +143,7 @@
 
 
 @async_test
-async def test_purchase_rejected_by_every_endpoint_is_shed() -> None:
+async def test_at_most_once_request_rejected_by_every_endpoint_is_shed() -> None:
     async with (
         start_peers(REJECT) as (endpoint,),
         running_gateway(endpoint.endpoint_entry()) as gateway,
@@ -145,7 +153,7 @@
 
 @pytest.mark.parametrize("script", [reset_connection, respond_with(500), respond_with(503)])
 @async_test
-async def test_failed_page_read_is_retried_on_another_endpoint(script: PeerScript) -> None:
+async def test_failed_idempotent_request_is_retried_on_another_endpoint(script: PeerScript) -> None:
     async with (
         start_peers(script, respond_with()) as endpoints,
         running_gateway(*(endpoint.endpoint_entry() for endpoint in endpoints)) as gateway,
@@ -155,7 +163,7 @@
 
 @async_test
 async def test_draining_or_removed_endpoint_gets_no_new_request() -> None:
-    """Rule 3."""
+    """The list update reaches both the policy and the connection pool."""
     async with (
         start_peers(respond_with(), respond_with()) as (first, second),
         running_gateway(first.endpoint_entry(), second.endpoint_entry()) as gateway,
@@ -166,7 +174,7 @@
         for _ in range(10):
             assert (await gateway.request()).status == 200
         assert not first.requests
-        # A complete list without the second endpoint.
+        # This complete list does not contain the second endpoint, which removes it.
         gateway.dispatcher.update_endpoints(endpoint_list(first.endpoint_entry(), revision=3))
         count = len(second.requests)
         for _ in range(10):
@@ -176,7 +184,7 @@
 
 @async_test
 async def test_endpoint_in_slow_start_gets_a_small_share() -> None:
-    """Rule 4: the policy knows when each endpoint started, on the gateway's own clock."""
+    """The policy gets the start time of each endpoint on the gateway's clock."""
     settings = Settings((READ, BUY), max_attempts=5, initial_capacity=0.13, slow_start_window_us=24_000_000)
     async with start_peers(respond_with(), respond_with()) as (started, warm):
         now_us = time.time_ns() // 1000
@@ -208,7 +216,7 @@
 
 
 @async_test
-async def test_clients_that_disconnect_early_are_no_sign_of_overload() -> None:
+async def test_early_disconnects_do_not_count_as_overload() -> None:
     long_objective = RequestClass("page-read", 10_000 * US_PER_MS, 15_000 * US_PER_MS, Idempotency.IDEMPOTENT)
     settings = Settings((long_objective,), cancellation_allowed=True)
     async with (
@@ -225,7 +233,7 @@
 
 @async_test
 async def test_concurrent_requests_right_after_the_start_are_not_shed() -> None:
-    """All clients begin at once; the initial limit of an endpoint has to suffice for that."""
+    """The initial concurrency limit of an endpoint has to admit a burst of 8 requests at the start."""
     async with (
         start_peers(never_respond) as (endpoint,),
         running_gateway(endpoint.endpoint_entry()) as gateway,
@@ -252,7 +260,7 @@
 
 @async_test
 async def test_slower_one_of_two_hedged_attempts_is_cancelled() -> None:
-    """It ends as the other attempt is served, and the client gets one response."""
+    """It is cancelled when the other attempt gets its response, and the client gets one response."""
     async with (
         start_peers(respond_with(), respond_with()) as endpoints,
         running_gateway(*(endpoint.endpoint_entry() for endpoint in endpoints), settings=SETTINGS) as gateway,
--- a/tests/integration/test_retry_deadlines.py
+++ b/tests/integration/test_retry_deadlines.py
@@ -1,4 +1,7 @@
-"""Retries of requests that must not be executed twice: only within the deduplication window."""
+"""Tests that requests with an idempotency key are retried only within the deduplication window.
+
+Endpoints forget the key after the window, so a retry that arrives later could execute the request twice.
+"""
 
 from __future__ import annotations
 
@@ -39,9 +42,10 @@
 async def test_retry_whose_connect_outlasts_the_window_is_not_sent(
     monkeypatch: pytest.MonkeyPatch, request_class: RequestClass
 ) -> None:
-    """The retry was decided on within the window; the client gets its response when the window ends.
+    """The policy starts the retry within the window, but its connect takes longer than the window.
 
-    The response does not invite a retry by the client, which would come after the window.
+    The client gets a response when the window ends. The status is 502 and not 503, because a 503 would invite
+    a retry after the window.
     """
     async with (
         start_peers(reset_connection, respond_with()) as (first, other),
@@ -58,7 +62,7 @@
         client, response = await request_with_key(gateway, request_class)
         assert response.status == 502
         assert connects.waiting_count == 1
-        # At the end of the window, and not at the deadline of 10 s.
+        # The response is sent at the end of the window, not at the request deadline of 10 s.
         assert DEDUPLICATION_WINDOW_S <= time.monotonic() - started_at_s < 5
         connects.allow.set()
         await wait_until(lambda: not gateway.pool.connecting_count)
@@ -91,7 +95,7 @@
 
 @async_test
 async def test_rejected_request_is_retried_however_late_the_rejection() -> None:
-    """The window starts with the first attempt that was possibly executed; there is none."""
+    """The window starts with the first attempt that may have been executed, and a rejected one was not."""
 
     async def reject_late(request: Message, writer: asyncio.StreamWriter) -> None:
         await asyncio.sleep(2 * DEDUPLICATION_WINDOW_S)
@@ -116,7 +120,10 @@
 async def test_first_attempt_that_connects_after_the_window_of_its_hedge_is_not_sent(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The hedged attempt was sent first: the window starts with it, and the first attempt is the retry."""
+    """The first attempt is still connecting when the hedged attempt is sent.
+
+    The window starts with the hedged attempt, so the first attempt must not be sent after the window.
+    """
     async with (
         start_peers(respond_with(), never_respond) as (first, other),
         running_gateway(
@@ -134,7 +141,8 @@
         await wait_until(lambda: other.requests)
         (request,) = gateway.dispatcher._requests.values()
         await wait_until(lambda: request.attempts[0].has_ended)
-        assert gateway.dispatcher.unanswered_count == 1  # at the end of the window, before the deadline
+        # The attempt ended with the window, before the request deadline.
+        assert gateway.dispatcher.unanswered_count == 1
         connects.allow.set()
         await wait_until(lambda: not gateway.pool.connecting_count)
         await wait_until(lambda: first.closed == first.connections)
