--- a/http_gateway/net/request_dispatcher.py
+++ b/http_gateway/net/request_dispatcher.py
@@ -101,7 +101,7 @@
         """
         self._has_endpoint_list = self._has_endpoint_list or bool(endpoint_list.entries)
         endpoints = tuple(entry.endpoint for entry in endpoint_list.entries)
-        self._feed(EndpointListUpdate(_update_kind(endpoint_list, is_cached), endpoints))
+        self._dispatch_event(EndpointListUpdate(_update_kind(endpoint_list, is_cached), endpoints))
         self._pool.update_endpoints(endpoint_list.entries, endpoint_list.is_complete or is_cached)
 
     def submit(
@@ -128,7 +128,7 @@
         request = DispatchedRequest(client_request, respond, has_client_disconnected, deadline_at_us)
         self._requests[request_id] = request
         self._start_deadline_timer(request_id, request, timeout_us)
-        self._feed(_arrival(request_id, client_request, timeout_us))
+        self._dispatch_event(_request_arrived_event(request_id, client_request, timeout_us))
         return request_id
 
     def abandon(self, request_id: RequestId) -> None:
@@ -136,10 +136,10 @@
         request = self._requests.get(request_id)
         if request is not None and request.needs_response:
             request.abandon()
-            self._feed(RequestAbandoned(request_id))
+            self._dispatch_event(RequestAbandoned(request_id))
             self._release_if_answered(request_id)
 
-    def _feed(self, event: Event) -> None:
+    def _dispatch_event(self, event: Event) -> None:
         """Queue an event and handle all queued events in order.
 
         Executing an action may cause another event. It is queued, so that the policy finishes the current
@@ -151,11 +151,11 @@
         self._is_handling_events = True
         try:
             while self._events:
-                self._handle(self._events.popleft())
+                self._handle_event(self._events.popleft())
         finally:
             self._is_handling_events = False
 
-    def _handle(self, event: Event) -> None:
+    def _handle_event(self, event: Event) -> None:
         """Pass one event to the policy and execute the resulting actions.
 
         An exception fails only the request that the event belongs to. The process and all other requests
@@ -163,7 +163,7 @@
         """
         try:
             for action in self._balancer.handle(event, self._clock.now_us()):
-                self._execute(action)
+                self._execute_action(action)
             if isinstance(event, RequestArrived | AttemptEnded):
                 self._release_if_answered(event.request_id)
         except Exception:
@@ -171,7 +171,7 @@
             if isinstance(event, RequestArrived | AttemptEnded):
                 self._fail(event.request_id, HTTPStatus.INTERNAL_SERVER_ERROR)
 
-    def _execute(self, action: Action) -> None:
+    def _execute_action(self, action: Action) -> None:
         match action:
             case StartAttempt():
                 self._start_attempt(action)
@@ -182,7 +182,7 @@
             case FailRequest(request_id):
                 self._respond(request_id, Response(HTTPStatus.BAD_GATEWAY))
             case SetTimer(delay_us, token):
-                self._loop.call_later(delay_us / US_PER_S, self._feed, TimerFired(token))
+                self._loop.call_later(delay_us / US_PER_S, self._dispatch_event, TimerFired(token))
             case _:
                 # WatchEndpointList needs no action because the gateway always watches the endpoint list.
                 # CheckHealth is ignored because the gateway sends no health checks.
@@ -198,7 +198,7 @@
         if request.needs_response and expires_at_us > now_us:
             upstream_attempt = self._start_upstream_attempt(action, request, number, expires_at_us, now_us)
         if upstream_attempt is None:
-            self._attempt_ended(action.request_id, number, Outcome.NOT_SENT, None)
+            self._on_attempt_end(action.request_id, number, Outcome.NOT_SENT, None)
         elif not attempt.has_ended:
             attempt.start(upstream_attempt)
             if expires_at_us < request.deadline_at_us:
@@ -216,7 +216,7 @@
             action.endpoint_id,
             request.client_request.message,
             expires_at_s,
-            on_end=partial(self._attempt_ended, action.request_id, number),
+            on_end=partial(self._on_attempt_end, action.request_id, number),
             is_wanted=partial(self._is_wanted, action.request_id),
             last_byte_before_s=last_byte_before_s,
         )
@@ -238,7 +238,7 @@
             self.abandon(request_id)
         return request is not None and request.needs_response
 
-    def _attempt_ended(
+    def _on_attempt_end(
         self, request_id: RequestId, attempt_number: int, outcome: Outcome, response: Message | None
     ) -> None:
         request = self._requests[request_id]
@@ -246,7 +246,7 @@
         attempt.end()
         if outcome is Outcome.OK and response is not None:
             request.respond(Response(HTTPStatus.OK, response.headers, response.body))
-        self._feed(
+        self._dispatch_event(
             AttemptEnded(
                 request_id,
                 attempt_number,
@@ -279,10 +279,10 @@
     def _start_deadline_timer(
         self, request_id: RequestId, request: DispatchedRequest, remaining_us: int
     ) -> None:
-        timer = self._loop.call_later(remaining_us / US_PER_S, self._expire, request_id)
+        timer = self._loop.call_later(remaining_us / US_PER_S, self._on_deadline, request_id)
         request.set_deadline_timer(timer)
 
-    def _expire(self, request_id: RequestId) -> None:
+    def _on_deadline(self, request_id: RequestId) -> None:
         """Time out all attempts of a request that has reached its deadline.
 
         The ends of the attempts normally make the policy answer the request; otherwise it gets a 504.
@@ -304,7 +304,7 @@
             return
         log.error("policy gave no response request_id=%d status=%d", request_id, status)
         request.respond(Response(status))
-        self._feed(RequestAbandoned(request_id))
+        self._dispatch_event(RequestAbandoned(request_id))
         request.cancel_attempts()
         self._release_if_answered(request_id)
 
@@ -315,7 +315,9 @@
     return ListUpdateKind.COMPLETE if endpoint_list.is_complete else ListUpdateKind.DELTA
 
 
-def _arrival(request_id: RequestId, client_request: ClientRequest, timeout_us: int) -> RequestArrived:
+def _request_arrived_event(
+    request_id: RequestId, client_request: ClientRequest, timeout_us: int
+) -> RequestArrived:
     return RequestArrived(
         request_id,
         client_request.class_name,
--- a/tests/support/upstream.py
+++ b/tests/support/upstream.py
@@ -201,4 +201,4 @@
     request = dispatcher._requests.get(request_id)
     if request is not None:
         request.deadline_at_us = 0
-    dispatcher._expire(request_id)
+    dispatcher._on_deadline(request_id)
