--- a/http_gateway/net/dispatched_request.py
+++ b/http_gateway/net/dispatched_request.py
@@ -96,11 +96,11 @@
         self.attempts.append(DispatchedAttempt(endpoint_id, now_us))
         return len(self.attempts) - 1
 
-    def limit_last_byte(self, before_s: float) -> None:
+    def tighten_last_byte_deadline(self, deadline_s: float) -> None:
         """Set a deadline, in loop time, for the last request byte of all attempts in flight."""
         for attempt in self.attempts:
             if attempt.upstream_attempt is not None:
-                attempt.upstream_attempt.limit_last_byte(before_s)
+                attempt.upstream_attempt.tighten_last_byte_deadline(deadline_s)
 
     # Stopping an attempt may append a retry to `attempts`; the loops below then visit the retry as well.
 
@@ -113,7 +113,7 @@
     def cancel_unwritten_attempts(self) -> None:
         """Cancel the attempts in flight whose request is not completely written."""
         for attempt in self.attempts:
-            if attempt.upstream_attempt is not None and not attempt.upstream_attempt.is_written:
+            if attempt.upstream_attempt is not None and not attempt.upstream_attempt.is_request_written:
                 attempt.upstream_attempt.stop(Outcome.CANCELLED)
 
     def time_out_attempts(self) -> None:
@@ -129,4 +129,4 @@
     The outcome is `NOT_SENT` if the request was not completely written, because the endpoint cannot have
     executed it.
     """
-    attempt.stop(Outcome.TIMEOUT if attempt.is_written else Outcome.NOT_SENT)
+    attempt.stop(Outcome.TIMEOUT if attempt.is_request_written else Outcome.NOT_SENT)
--- a/http_gateway/net/request_dispatcher.py
+++ b/http_gateway/net/request_dispatcher.py
@@ -208,17 +208,17 @@
         self, action: StartAttempt, request: DispatchedRequest, number: int, expires_at_us: int, now_us: int
     ) -> UpstreamAttempt | None:
         expires_at_s = self._loop.time() + (expires_at_us - now_us) / US_PER_S
-        last_byte_before_s = math.inf
+        last_byte_deadline_s = math.inf
         if action.last_byte_before_us:
-            last_byte_before_s = self._loop.time() + (action.last_byte_before_us - now_us) / US_PER_S
-        request.limit_last_byte(last_byte_before_s)
+            last_byte_deadline_s = self._loop.time() + (action.last_byte_before_us - now_us) / US_PER_S
+        request.tighten_last_byte_deadline(last_byte_deadline_s)
         return self._pool.start_attempt(
             action.endpoint_id,
             request.client_request.message,
             expires_at_s,
             on_end=partial(self._on_attempt_end, action.request_id, number),
-            is_wanted=partial(self._is_wanted, action.request_id),
-            last_byte_before_s=last_byte_before_s,
+            is_client_waiting=partial(self._is_client_waiting, action.request_id),
+            last_byte_deadline_s=last_byte_deadline_s,
         )
 
     def _cancel_attempt(self, request_id: RequestId, attempt_number: int) -> None:
@@ -227,7 +227,7 @@
         if attempt is not None:
             attempt.stop(Outcome.CANCELLED)
 
-    def _is_wanted(self, request_id: RequestId) -> bool:
+    def _is_client_waiting(self, request_id: RequestId) -> bool:
         """Return whether the client still waits for a response.
 
         If the client has disconnected but a delayed event loop has not handled this yet, the request is
--- a/http_gateway/net/upstream/attempt.py
+++ b/http_gateway/net/upstream/attempt.py
@@ -40,7 +40,7 @@
         request: the client's request.
         expires_at_s: loop time at which the client stops waiting.
         on_end: called exactly once with the outcome.
-        is_wanted: whether the client still waits for the response.
+        is_client_waiting: whether the client still waits for the response.
     """
 
     def __init__(
@@ -48,16 +48,16 @@
         request: Message,
         expires_at_s: float,
         on_end: AttemptEndCallback,
-        is_wanted: Callable[[], bool],
+        is_client_waiting: Callable[[], bool],
     ) -> None:
         self._loop = asyncio.get_running_loop()
         self._request = request
         self._expires_at_s = expires_at_s
         self._on_end: AttemptEndCallback | None = on_end
-        self._is_wanted = is_wanted
+        self._is_client_waiting = is_client_waiting
         self._connection: AttemptConnection | None = None
         self._connect_task: asyncio.Task[None] | None = None
-        self._last_byte_before_s = math.inf  # deadline for the last byte, in loop time
+        self._last_byte_deadline_s = math.inf  # loop time
         self._last_byte_timer: asyncio.TimerHandle | None = None
 
     @property
@@ -76,39 +76,39 @@
         return self._connection
 
     @property
-    def is_written(self) -> bool:
+    def is_request_written(self) -> bool:
         """Whether the whole request is written, so that the endpoint may have received its last byte."""
         return self._connection is not None and self._connection.is_request_written
 
     @property
-    def is_in_time(self) -> bool:
+    def is_before_last_byte_deadline(self) -> bool:
         """Whether the deadline for the last byte has not passed yet."""
-        return self._loop.time() < self._last_byte_before_s
+        return self._loop.time() < self._last_byte_deadline_s
 
-    def is_wanted(self) -> bool:
+    def is_client_waiting(self) -> bool:
         """Return whether the client still waits for the response.
 
         Called right before bytes are written. The check may end the attempt.
         """
-        return self._is_wanted()
+        return self._is_client_waiting()
 
     def request_bytes(self) -> bytes:
         """Serialize the request; the header `x-deadline` gives the seconds that remain until the deadline."""
         remaining_s = max(0.0, self._expires_at_s - self._loop.time())
         return write_request(self._request, [(b"x-deadline", b"%.3f" % remaining_s)])
 
-    def limit_last_byte(self, before_s: float) -> None:
+    def tighten_last_byte_deadline(self, deadline_s: float) -> None:
         """Set a deadline, in loop time, for writing the last byte of the request.
 
         If the last byte is not written by then, the attempt ends with `NOT_SENT`. A later deadline than the
         current one is ignored.
         """
-        if before_s >= self._last_byte_before_s or self.has_ended:
+        if deadline_s >= self._last_byte_deadline_s or self.has_ended:
             return
         if self._last_byte_timer is not None:
             self._last_byte_timer.cancel()
-        self._last_byte_before_s = before_s
-        self._last_byte_timer = self._loop.call_at(before_s, self._stop_unwritten)
+        self._last_byte_deadline_s = deadline_s
+        self._last_byte_timer = self._loop.call_at(deadline_s, self._stop_if_unwritten)
 
     def connect(self, connecting: Coroutine[Any, Any, None], on_done: Callable[[], None]) -> None:
         """Run a coroutine that opens a connection for this attempt, in a task that `stop` cancels.
@@ -146,8 +146,8 @@
         if on_end is not None:
             on_end(outcome, response)
 
-    def _stop_unwritten(self) -> None:
-        if not self.is_written:
+    def _stop_if_unwritten(self) -> None:
+        if not self.is_request_written:
             self.stop(Outcome.NOT_SENT)
 
     def _connect_done(self, on_done: Callable[[], None]) -> None:
--- a/http_gateway/net/upstream/connection.py
+++ b/http_gateway/net/upstream/connection.py
@@ -111,11 +111,11 @@
 
         The attempt ends unsent if its client no longer waits or the deadline for its last byte has passed.
         """
-        if not attempt.is_wanted():
+        if not attempt.is_client_waiting():
             self._become_idle()
             attempt.stop(Outcome.CANCELLED)
             return
-        if not attempt.is_in_time:
+        if not attempt.is_before_last_byte_deadline:
             self._become_idle()
             attempt.stop(Outcome.NOT_SENT)
             return
@@ -204,7 +204,7 @@
         assert self._transport is not None
         if self._transport.is_closing():  # the write failed, so the request is incomplete
             return
-        if self._deferred_byte and not (attempt.is_in_time and attempt.is_wanted()):
+        if self._deferred_byte and not (attempt.is_before_last_byte_deadline and attempt.is_client_waiting()):
             attempt.stop(Outcome.NOT_SENT)
             return
         last_byte, self._deferred_byte = self._deferred_byte, b""
--- a/http_gateway/net/upstream/pool.py
+++ b/http_gateway/net/upstream/pool.py
@@ -86,8 +86,8 @@
         request: Message,
         expires_at_s: float,
         on_end: AttemptEndCallback,
-        is_wanted: Callable[[], bool] = lambda: True,
-        last_byte_before_s: float = math.inf,
+        is_client_waiting: Callable[[], bool] = lambda: True,
+        last_byte_deadline_s: float = math.inf,
     ) -> UpstreamAttempt | None:
         """Start an attempt, which may end before this method returns.
 
@@ -97,8 +97,8 @@
             expires_at_s: loop time at which the client stops waiting; sent to the endpoint as the remaining
                 time in the header `x-deadline`.
             on_end: called exactly once with the outcome, unless None is returned.
-            is_wanted: whether the client still waits; called right before bytes are written.
-            last_byte_before_s: loop time before which the last byte of the request has to be written.
+            is_client_waiting: whether the client still waits; called right before bytes are written.
+            last_byte_deadline_s: loop time before which the last byte of the request has to be written.
 
         Returns:
             The attempt, or None if the endpoint is not in use or the connection limit is reached.
@@ -106,7 +106,7 @@
         endpoint = self._endpoints.get(endpoint_id)
         if endpoint is None:
             return None
-        attempt = UpstreamAttempt(request, expires_at_s, on_end, is_wanted)
+        attempt = UpstreamAttempt(request, expires_at_s, on_end, is_client_waiting)
         connection = endpoint.take_idle(attempt)
         if connection is None and self._descriptors.is_limit_reached and not self._close_longest_idle():
             log.warning(
@@ -115,7 +115,7 @@
                 self._descriptors.max_connections,
             )
             return None
-        attempt.limit_last_byte(last_byte_before_s)
+        attempt.tighten_last_byte_deadline(last_byte_deadline_s)
         if connection is not None:
             connection.send(attempt)
         else:
--- a/tests/integration/test_last_byte.py
+++ b/tests/integration/test_last_byte.py
@@ -52,14 +52,14 @@
     endpoint = SlowReadingEndpoint()
     driver = endpoint.driver
     loop = asyncio.get_running_loop()
-    last_byte_before_s = loop.time() + 1.0
-    endpoint_socket = await endpoint.accept_request(20_000, last_byte_before_s)
+    last_byte_deadline_s = loop.time() + 1.0
+    endpoint_socket = await endpoint.accept_request(20_000, last_byte_deadline_s)
     await wait_until(lambda: driver.pool.connection_count and not driver.pool.connecting_count)
     # With this buffer size the kernel accepts all remaining bytes at once.
     endpoint.gateway_socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, LARGE_BUFFER_BYTES)
     endpoint_socket.settimeout(0.05)
     received = b""
-    while loop.time() < last_byte_before_s + 0.1:  # blocks the event loop while the kernel buffers drain
+    while loop.time() < last_byte_deadline_s + 0.1:  # blocks the event loop while the kernel buffers drain
         try:
             received += endpoint_socket.recv(65536)
         except TimeoutError:
@@ -77,7 +77,7 @@
     endpoint = SlowReadingEndpoint()
     endpoint_socket = await endpoint.accept_request(20_000, math.inf)
     await wait_until(lambda: endpoint.attempt.connection)
-    assert not endpoint.attempt.is_written
+    assert not endpoint.attempt.is_request_written
     endpoint.driver.is_client_waiting = False
     received = await read_to_end(endpoint_socket)
     assert len(received) == received.index(b"\r\n\r\n") + 4 + 20_000 - 1
--- a/tests/integration/test_upstream_endpoints.py
+++ b/tests/integration/test_upstream_endpoints.py
@@ -102,7 +102,7 @@
     """The deadline for its last byte passes after the pool has refused to start it."""
     async with start_peers(respond_with()) as (endpoint,):
         driver = AttemptDriver(endpoint.port, max_connections=0)
-        last_byte_before_s = asyncio.get_running_loop().time() + 0.05
-        assert driver.start(CHAPTER_ADD, last_byte_before_s) is None
+        last_byte_deadline_s = asyncio.get_running_loop().time() + 0.05
+        assert driver.start(CHAPTER_ADD, last_byte_deadline_s) is None
         await asyncio.sleep(0.1)
         assert not driver.ends
--- a/tests/support/upstream.py
+++ b/tests/support/upstream.py
@@ -73,7 +73,7 @@
         self.update_endpoint(state=EndpointState.DRAINING)
 
     def start(
-        self, request: Message = PAGE_READ, last_byte_before_s: float = math.inf
+        self, request: Message = PAGE_READ, last_byte_deadline_s: float = math.inf
     ) -> UpstreamAttempt | None:
         """Start an attempt; return None if the pool does not start it."""
         return self.pool.start_attempt(
@@ -82,7 +82,7 @@
             asyncio.get_running_loop().time() + ATTEMPT_TIMEOUT_S,
             self._record_end,
             lambda: self.is_client_waiting,
-            last_byte_before_s,
+            last_byte_deadline_s,
         )
 
     async def run(self, request: Message = PAGE_READ) -> AttemptEnd:
@@ -135,7 +135,7 @@
         self.attempt: UpstreamAttempt
         self.gateway_socket: socket.socket
 
-    async def accept_request(self, body_bytes: int, last_byte_before_s: float) -> socket.socket:
+    async def accept_request(self, body_bytes: int, last_byte_deadline_s: float) -> socket.socket:
         """Start an attempt whose request does not fit into the buffers; return the endpoint's socket."""
         loop = asyncio.get_running_loop()
         create_connection = loop.create_connection
@@ -147,7 +147,7 @@
             return transport, protocol
 
         loop.create_connection = connect_with_small_buffer  # type: ignore[method-assign, assignment]
-        attempt = self.driver.start(chapter_add(body_bytes), last_byte_before_s)
+        attempt = self.driver.start(chapter_add(body_bytes), last_byte_deadline_s)
         assert attempt is not None
         self.attempt = attempt
         endpoint_socket, _ = await loop.sock_accept(self._listener)
