--- a/http_gateway/net/upstream/connection.py
+++ b/http_gateway/net/upstream/connection.py
@@ -21,7 +21,7 @@
 
 # Seconds after a response before the connection is used again. An endpoint may send a second response a few
 # milliseconds later, which would be mistaken for the response to the next request.
-RESPONSE_SETTLE_S = 0.01
+REUSE_DELAY_S = 0.01
 
 
 class ConnectionOwner(Protocol):
@@ -72,10 +72,10 @@
         self._is_request_written = False
         self._is_write_blocked = False  # the kernel has not accepted all written bytes
         self._deferred_byte = b""  # last byte of the request, empty once it is written
-        self._was_rejected = False
+        self._last_response_was_rejection = False
 
     @property
-    def is_usable(self) -> bool:
+    def is_open(self) -> bool:
         """Whether the connection is established and not closing."""
         return self._transport is not None and not self._transport.is_closing()
 
@@ -85,9 +85,9 @@
         return self._is_request_written
 
     @property
-    def was_rejected(self) -> bool:
+    def last_response_was_rejection(self) -> bool:
         """Whether the last response on the connection was a rejection."""
-        return self._was_rejected
+        return self._last_response_was_rejection
 
     @property
     def idle_since_at_s(self) -> float:
@@ -96,9 +96,9 @@
 
     def is_settled(self, now_s: float) -> bool:
         """Return whether the connection has been idle long enough at this loop time to be used again."""
-        return self._idle_since_at_s <= now_s - RESPONSE_SETTLE_S
+        return self._idle_since_at_s <= now_s - REUSE_DELAY_S
 
-    def is_quiet(self) -> bool:
+    def is_reusable(self) -> bool:
         """Return whether the connection is open and its socket holds neither unread bytes nor an EOF."""
         if self._transport is None or self._transport.is_closing():
             return False
@@ -213,12 +213,12 @@
             self._transport.write(last_byte)
             self._is_request_written = self._is_request_written and not self._transport.is_closing()
 
-    def _end_attempt(self, response: Message, is_reusable: bool) -> None:
+    def _end_attempt(self, response: Message, may_reuse: bool) -> None:
         attempt, self._attempt = self._attempt, None
         assert attempt is not None
         outcome = response_outcome(response)
-        self._was_rejected = outcome is Outcome.REJECTED
-        if response.keep_alive and is_reusable and self._owner.is_ready and self.is_usable:
+        self._last_response_was_rejection = outcome is Outcome.REJECTED
+        if response.keep_alive and may_reuse and self._owner.is_ready and self.is_open:
             self._become_idle()
         else:
             self.drop()
--- a/http_gateway/net/upstream/endpoint_connections.py
+++ b/http_gateway/net/upstream/endpoint_connections.py
@@ -59,7 +59,7 @@
         """The idle connections, ordered by last use, the most recent last."""
         return self._idle.copy()
 
-    def can_serve(self, entry: EndpointEntry) -> bool:
+    def is_valid_for(self, entry: EndpointEntry) -> bool:
         """Return whether the connections are still valid for the endpoint that this entry describes.
 
         They are invalid if the endpoint drains, has another address or has restarted. Connections to a
@@ -98,20 +98,21 @@
         Returns:
             None if no idle connection can be used.
         """
-        rejected = None
+        after_rejection = None
         now_s = asyncio.get_running_loop().time()
         for connection in reversed(self._idle.copy()):
             if not connection.is_settled(now_s):
                 continue
-            if connection.was_rejected and not attempt.has_safe_method:
-                rejected = connection
+            if connection.last_response_was_rejection and not attempt.has_safe_method:
+                after_rejection = connection
                 continue
             self._idle.remove(connection)
-            if connection.is_quiet():
+            if connection.is_reusable():
                 return connection
             connection.drop()
-        if rejected is not None:  # the new connection replaces it, so that such connections do not accumulate
-            rejected.drop()
+        # The new connection replaces the skipped one, so that such connections do not accumulate.
+        if after_rejection is not None:
+            after_rejection.drop()
         return None
 
     def start_connecting(self, attempt: UpstreamAttempt) -> None:
@@ -143,7 +144,7 @@
         self._connecting.discard(attempt)
         if attempt.has_ended:
             connection.drop()
-        elif connection.is_usable:  # a connection that is already reset would not end the attempt
+        elif connection.is_open:  # a connection that is already reset would not end the attempt
             connection.send(attempt)
 
     def _connect_done(self, attempt: UpstreamAttempt) -> None:
--- a/http_gateway/net/upstream/pool.py
+++ b/http_gateway/net/upstream/pool.py
@@ -75,7 +75,7 @@
                 self._close(endpoint_id)
         for endpoint_id, entry in listed.items():
             known = self._endpoints.get(endpoint_id)
-            if known is not None and not known.can_serve(entry):
+            if known is not None and not known.is_valid_for(entry):
                 self._close(endpoint_id)
             if entry.endpoint.state is EndpointState.READY and endpoint_id not in self._endpoints:
                 self._endpoints[endpoint_id] = EndpointConnections(entry, self._timeouts, self._descriptors)
--- a/tests/integration/test_upstream_outcomes.py
+++ b/tests/integration/test_upstream_outcomes.py
@@ -214,7 +214,7 @@
         (idle,) = driver.pool.idle_connections(ENDPOINT_ID)
         endpoint_socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         endpoint_socket.close()
-        monkeypatch.setattr(idle, "is_quiet", lambda: True)
+        monkeypatch.setattr(idle, "is_reusable", lambda: True)
         driver.start()
         await driver.wait_for_ends(2)
         assert driver.ends[-1].outcome is Outcome.CONNECT_FAILED
--- a/tests/integration/test_upstream_reuse.py
+++ b/tests/integration/test_upstream_reuse.py
@@ -159,7 +159,7 @@
 
     HTTP/1.1 responses do not identify their request, so it must not arrive on the connection of that request.
     """
-    monkeypatch.setattr(connection, "RESPONSE_SETTLE_S", 60.0)
+    monkeypatch.setattr(connection, "REUSE_DELAY_S", 60.0)
 
     async def script(request: Message, writer: asyncio.StreamWriter) -> None:
         writer.write(PAGE_RESPONSE)
@@ -186,7 +186,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The copy would cause a retry of a request that the endpoint executes, so that it is executed twice."""
-    monkeypatch.setattr(connection, "RESPONSE_SETTLE_S", 0.0)
+    monkeypatch.setattr(connection, "REUSE_DELAY_S", 0.0)
 
     async def script(request: Message, writer: asyncio.StreamWriter) -> None:
         if writer is endpoint.request_writers[0]:
