--- a/tests/integration/test_last_byte.py
+++ b/tests/integration/test_last_byte.py
@@ -14,7 +14,7 @@
 from http_gateway.policy.events import Outcome
 from tests.support.loopback import async_test, respond_with, start_peers, wait_until
 from tests.support.upstream import (
-    CHAPTER_ADD,
+    UNSAFE_REQUEST,
     AttemptDriver,
     SlowReadingEndpoint,
     read_to_end,
@@ -27,8 +27,8 @@
 async def test_request_is_complete_with_its_deferred_last_byte() -> None:
     """The request is sent in two writes, and the second one contains only the last byte."""
     async with start_peers(respond_with()) as (endpoint,):
-        assert (await AttemptDriver(endpoint.port).run(CHAPTER_ADD)).outcome is Outcome.OK
-        assert endpoint.requests[0].body == CHAPTER_ADD.body
+        assert (await AttemptDriver(endpoint.port).run(UNSAFE_REQUEST)).outcome is Outcome.OK
+        assert endpoint.requests[0].body == UNSAFE_REQUEST.body
 
 
 @async_test
--- a/tests/integration/test_upstream_endpoints.py
+++ b/tests/integration/test_upstream_endpoints.py
@@ -14,7 +14,7 @@
     start_peers,
     wait_until,
 )
-from tests.support.upstream import CHAPTER_ADD, PAGE_READ, AttemptDriver
+from tests.support.upstream import SAFE_REQUEST, UNSAFE_REQUEST, AttemptDriver
 
 
 @async_test
@@ -88,7 +88,7 @@
         expires_at_s = asyncio.get_running_loop().time() + 30
         for _ in range(2):  # the second attempt finds no idle connection to close
             attempt = driver.pool.start_attempt(
-                endpoint_id(other.name), PAGE_READ, expires_at_s, record_outcome
+                endpoint_id(other.name), SAFE_REQUEST, expires_at_s, record_outcome
             )
             if attempt is None:
                 outcomes.append(Outcome.NOT_SENT)
@@ -103,6 +103,6 @@
     async with start_peers(respond_with()) as (endpoint,):
         driver = AttemptDriver(endpoint.port, max_connections=0)
         last_byte_deadline_s = asyncio.get_running_loop().time() + 0.05
-        assert driver.start(CHAPTER_ADD, last_byte_deadline_s) is None
+        assert driver.start(UNSAFE_REQUEST, last_byte_deadline_s) is None
         await asyncio.sleep(0.1)
         assert not driver.ends
--- a/tests/integration/test_upstream_outcomes.py
+++ b/tests/integration/test_upstream_outcomes.py
@@ -24,11 +24,11 @@
 )
 from tests.support.upstream import (
     ENDPOINT_ID,
-    PAGE_READ,
-    PAGE_RESPONSE,
+    OK_RESPONSE,
+    SAFE_REQUEST,
     SMALL_BUFFER_BYTES,
     AttemptDriver,
-    chapter_add,
+    unsafe_request,
 )
 
 
@@ -107,7 +107,7 @@
 async def test_interim_responses_are_ignored() -> None:
     async def script(request: Message, writer: asyncio.StreamWriter) -> None:
         writer.write(
-            b"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n" + PAGE_RESPONSE
+            b"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n" + OK_RESPONSE
         )
 
     async with start_peers(script) as (endpoint,):
@@ -178,7 +178,7 @@
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.read(1000)
-        await respond_with()(PAGE_READ, writer)  # the first request is small and is answered
+        await respond_with()(SAFE_REQUEST, writer)  # the first request is small and is answered
         await reader.read(1000)
         writer.transport.pause_reading()  # type: ignore[attr-defined]
         await may_reset.wait()
@@ -189,8 +189,8 @@
     assert (await driver.run()).outcome is Outcome.OK
     gateway_socket = driver.idle_transport().get_extra_info("socket")
     gateway_socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SMALL_BUFFER_BYTES)
-    await driver.settle()
-    driver.start(chapter_add(body_bytes))
+    await driver.wait_until_reusable()
+    driver.start(unsafe_request(body_bytes))
     await asyncio.sleep(0.05)
     may_reset.set()
     await driver.wait_for_ends(2)
@@ -208,9 +208,9 @@
         driver.start()
         endpoint_socket, _ = await loop.sock_accept(listener)
         await loop.sock_recv(endpoint_socket, 65536)
-        endpoint_socket.send(PAGE_RESPONSE)
+        endpoint_socket.send(OK_RESPONSE)
         await wait_until(lambda: driver.ends)
-        await driver.settle()
+        await driver.wait_until_reusable()
         (idle,) = driver.pool.idle_connections(ENDPOINT_ID)
         endpoint_socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         endpoint_socket.close()
--- a/tests/integration/test_upstream_races.py
+++ b/tests/integration/test_upstream_races.py
@@ -28,7 +28,7 @@
 )
 from tests.support.races import after_connecting, answers, connect, record_events
 from tests.support.retries import prefer_endpoints
-from tests.support.upstream import PAGE_RESPONSE, DelayedConnects, expire_request, wait_until_settled
+from tests.support.upstream import OK_RESPONSE, DelayedConnects, expire_request, wait_until_settled
 
 
 @async_test
@@ -105,9 +105,9 @@
             attempt = gateway.dispatcher._requests[1].attempts[0].upstream_attempt
             assert attempt is not None
             assert isinstance(attempt.connection, UpstreamConnection)
-            attempt.connection.on_data(memoryview(PAGE_RESPONSE))
+            attempt.connection.on_data(memoryview(OK_RESPONSE))
         else:
-            endpoint.request_writers[0].write(PAGE_RESPONSE)  # received by the kernel but not read
+            endpoint.request_writers[0].write(OK_RESPONSE)  # received by the kernel but not read
         expire_request(gateway.dispatcher, 1)
         response = await client.response()
         assert response.status == (200 if first == "response" else 502)
--- a/tests/integration/test_upstream_reuse.py
+++ b/tests/integration/test_upstream_reuse.py
@@ -21,10 +21,10 @@
     wait_until,
 )
 from tests.support.upstream import (
-    CHAPTER_ADD,
     ENDPOINT_ID,
-    PAGE_READ,
-    PAGE_RESPONSE,
+    OK_RESPONSE,
+    SAFE_REQUEST,
+    UNSAFE_REQUEST,
     AttemptDriver,
     wait_for_requests,
 )
@@ -49,14 +49,14 @@
         driver.start()
         await wait_for_requests(endpoint, 2)
         first, second = endpoint.request_writers
-        await respond_with()(PAGE_READ, second)
+        await respond_with()(SAFE_REQUEST, second)
         await driver.wait_for_ends(1)
-        await respond_with()(PAGE_READ, first)
+        await respond_with()(SAFE_REQUEST, first)
         await driver.wait_for_ends(2)
-        await driver.settle()
+        await driver.wait_until_reusable()
         driver.start()
         await wait_for_requests(endpoint, 3)
-        await respond_with(body=b"again")(PAGE_READ, first)
+        await respond_with(body=b"again")(SAFE_REQUEST, first)
         await driver.wait_for_ends(3)
         response = driver.ends[-1].response
         assert response is not None
@@ -93,7 +93,7 @@
         assert endpoint.connections == 2
 
 
-@pytest.mark.parametrize("unread", [b"", PAGE_RESPONSE])
+@pytest.mark.parametrize("unread", [b"", OK_RESPONSE])
 @async_test
 async def test_connection_with_unread_bytes_or_end_is_not_used_again(unread: bytes) -> None:
     """An EOF or a second copy of the response is in the socket, but the event loop has not read it yet."""
@@ -126,12 +126,12 @@
 
 
 @pytest.mark.parametrize(
-    "excess", [b"\x00\r\nnoise", PAGE_RESPONSE, b"HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n"]
+    "excess", [b"\x00\r\nnoise", OK_RESPONSE, b"HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n"]
 )
 @async_test
 async def test_complete_response_is_used_but_excess_bytes_close_its_connection(excess: bytes) -> None:
     async def script(request: Message, writer: asyncio.StreamWriter) -> None:
-        writer.write(PAGE_RESPONSE + (excess if len(endpoint.requests) == 1 else b""))
+        writer.write(OK_RESPONSE + (excess if len(endpoint.requests) == 1 else b""))
 
     async with start_peers(script) as (endpoint,):
         driver = AttemptDriver(endpoint.port)
@@ -162,9 +162,9 @@
     monkeypatch.setattr(connection, "REUSE_DELAY_S", 60.0)
 
     async def script(request: Message, writer: asyncio.StreamWriter) -> None:
-        writer.write(PAGE_RESPONSE)
+        writer.write(OK_RESPONSE)
         if len(endpoint.requests) == 2:
-            endpoint.request_writers[0].write(PAGE_RESPONSE.replace(b"page", b"late"))
+            endpoint.request_writers[0].write(OK_RESPONSE.replace(b"page", b"late"))
             if writer is endpoint.request_writers[0]:
                 return
             # The gateway has read the late response and closed its connection.
@@ -195,9 +195,9 @@
 
     async with start_peers(REJECT) as (endpoint,):
         driver = AttemptDriver(endpoint.port)
-        assert (await driver.run(CHAPTER_ADD)).outcome is Outcome.REJECTED
+        assert (await driver.run(UNSAFE_REQUEST)).outcome is Outcome.REJECTED
         endpoint.script = script
-        assert (await driver.run(CHAPTER_ADD)).outcome is Outcome.OK
+        assert (await driver.run(UNSAFE_REQUEST)).outcome is Outcome.OK
         assert endpoint.connections == 2
 
 
@@ -206,7 +206,7 @@
     async with start_peers(REJECT) as (endpoint,):
         driver = AttemptDriver(endpoint.port)
         for _ in range(5):
-            assert (await driver.run(CHAPTER_ADD)).outcome is Outcome.REJECTED
+            assert (await driver.run(UNSAFE_REQUEST)).outcome is Outcome.REJECTED
             assert len(driver.pool.idle_connections(ENDPOINT_ID)) == 1
         assert endpoint.connections == 5
 
@@ -215,5 +215,5 @@
 async def test_connection_with_a_rejection_is_used_again_for_safe_requests() -> None:
     async with start_peers(REJECT) as (endpoint,):
         driver = AttemptDriver(endpoint.port)
-        assert [(await driver.run(PAGE_READ)).outcome for _ in range(3)] == [Outcome.REJECTED] * 3
+        assert [(await driver.run(SAFE_REQUEST)).outcome for _ in range(3)] == [Outcome.REJECTED] * 3
         assert endpoint.connections == 1
--- a/tests/support/upstream.py
+++ b/tests/support/upstream.py
@@ -23,14 +23,14 @@
 ATTEMPT_TIMEOUT_S = 30.0
 SMALL_BUFFER_BYTES = 4096
 
-PAGE_READ = Message(b"GET", b"/page-read", headers=[(b"x-request-id", b"1")])
-CHAPTER_ADD = Message(b"POST", b"/chapter-add", headers=[(b"x-request-id", b"1")], body=b"text")
-PAGE_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\npage"
+SAFE_REQUEST = Message(b"GET", b"/page-read", headers=[(b"x-request-id", b"1")])
+UNSAFE_REQUEST = Message(b"POST", b"/chapter-add", headers=[(b"x-request-id", b"1")], body=b"text")
+OK_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\npage"
 
 
-def chapter_add(body_bytes: int) -> Message:
+def unsafe_request(body_bytes: int) -> Message:
     """Return a request with an unsafe method and a body of this many bytes."""
-    return Message(b"POST", b"/chapter-add", headers=CHAPTER_ADD.headers, body=bytes(body_bytes))
+    return Message(b"POST", b"/chapter-add", headers=UNSAFE_REQUEST.headers, body=bytes(body_bytes))
 
 
 class AttemptEnd(NamedTuple):
@@ -73,7 +73,7 @@
         self.update_endpoint(state=EndpointState.DRAINING)
 
     def start(
-        self, request: Message = PAGE_READ, last_byte_deadline_s: float = math.inf
+        self, request: Message = SAFE_REQUEST, last_byte_deadline_s: float = math.inf
     ) -> UpstreamAttempt | None:
         """Start an attempt; return None if the pool does not start it."""
         return self.pool.start_attempt(
@@ -85,15 +85,15 @@
             last_byte_deadline_s,
         )
 
-    async def run(self, request: Message = PAGE_READ) -> AttemptEnd:
+    async def run(self, request: Message = SAFE_REQUEST) -> AttemptEnd:
         """Wait until idle connections may be used again, start an attempt and return its end."""
         count = len(self.ends)
-        await self.settle()
+        await self.wait_until_reusable()
         assert self.start(request) is not None
         await wait_until(lambda: len(self.ends) > count)
         return self.ends[-1]
 
-    async def run_and_read_body(self, request: Message = PAGE_READ) -> bytes:
+    async def run_and_read_body(self, request: Message = SAFE_REQUEST) -> bytes:
         """Run an attempt that has to succeed, and return the body of its response."""
         end = await self.run(request)
         assert end.outcome is Outcome.OK
@@ -104,7 +104,7 @@
         """Wait until this many attempts have ended in total."""
         await wait_until(lambda: len(self.ends) == count)
 
-    async def settle(self) -> None:
+    async def wait_until_reusable(self) -> None:
         """Wait until idle connections may be used again."""
         await wait_until_settled(self.pool, ENDPOINT_ID)
 
@@ -147,7 +147,7 @@
             return transport, protocol
 
         loop.create_connection = connect_with_small_buffer  # type: ignore[method-assign, assignment]
-        attempt = self.driver.start(chapter_add(body_bytes), last_byte_deadline_s)
+        attempt = self.driver.start(unsafe_request(body_bytes), last_byte_deadline_s)
         assert attempt is not None
         self.attempt = attempt
         endpoint_socket, _ = await loop.sock_accept(self._listener)
