--- a/http_gateway/net/upstream/connection.py
+++ b/http_gateway/net/upstream/connection.py
@@ -94,7 +94,7 @@
         """Loop time at which the connection became idle."""
         return self._idle_since_at_s
 
-    def is_settled(self, now_s: float) -> bool:
+    def is_reuse_delay_over(self, now_s: float) -> bool:
         """Return whether the connection has been idle long enough at this loop time to be used again."""
         return self._idle_since_at_s <= now_s - REUSE_DELAY_S
 
--- a/http_gateway/net/upstream/endpoint_connections.py
+++ b/http_gateway/net/upstream/endpoint_connections.py
@@ -101,7 +101,7 @@
         after_rejection = None
         now_s = asyncio.get_running_loop().time()
         for connection in reversed(self._idle.copy()):
-            if not connection.is_settled(now_s):
+            if not connection.is_reuse_delay_over(now_s):
                 continue
             if connection.last_response_was_rejection and not attempt.has_safe_method:
                 after_rejection = connection
--- a/tests/support/races.py
+++ b/tests/support/races.py
@@ -84,7 +84,7 @@
     """Send a request, and wait until its connection to the endpoint is idle and may be used again."""
     assert (await gateway.request()).status == 200
     (idle,) = gateway.pool.idle_connections(peer.endpoint_entry().endpoint.id)
-    await wait_until(lambda: idle.is_settled(asyncio.get_running_loop().time()))
+    await wait_until(lambda: idle.is_reuse_delay_over(asyncio.get_running_loop().time()))
     await wait_until(lambda: not gateway.frontend.connections)
 
 
--- a/tests/support/upstream.py
+++ b/tests/support/upstream.py
@@ -188,7 +188,7 @@
     """Wait until all connections to an endpoint that are idle now may be used again."""
     loop = asyncio.get_running_loop()
     idle = pool.idle_connections(endpoint_id)
-    await wait_until(lambda: all(connection.is_settled(loop.time()) for connection in idle))
+    await wait_until(lambda: all(connection.is_reuse_delay_over(loop.time()) for connection in idle))
 
 
 async def wait_for_requests(peer: LoopbackPeer, count: int) -> None:
