--- a/tests/integration/test_client_races.py
+++ b/tests/integration/test_client_races.py
@@ -31,7 +31,7 @@
     request_until,
     wait_for_idle_connection,
 )
-from tests.support.upstream import wait_until_settled
+from tests.support.upstream import wait_until_reusable
 
 
 @async_test
@@ -84,7 +84,7 @@
         for endpoint in endpoints:
             endpoint.script = respond_with(500)
             endpoint.requests.clear()
-            await wait_until_settled(gateway.pool, endpoint.endpoint_entry().endpoint.id)
+            await wait_until_reusable(gateway.pool, endpoint.endpoint_entry().endpoint.id)
         await wait_until(lambda: not gateway.frontend.connections)
         submitted_count = gateway.dispatcher.submitted_count
         client = connect(gateway, request_bytes())
--- a/tests/integration/test_upstream_races.py
+++ b/tests/integration/test_upstream_races.py
@@ -28,7 +28,7 @@
 )
 from tests.support.races import after_connecting, answers, connect, record_events
 from tests.support.retries import prefer_endpoints
-from tests.support.upstream import OK_RESPONSE, DelayedConnects, expire_request, wait_until_settled
+from tests.support.upstream import OK_RESPONSE, DelayedConnects, expire_request, wait_until_reusable
 
 
 @async_test
@@ -139,7 +139,7 @@
             assert (await gateway.request()).status == 200
         for endpoint in endpoints:
             endpoint.requests.clear()
-            await wait_until_settled(gateway.pool, endpoint.endpoint_entry().endpoint.id)
+            await wait_until_reusable(gateway.pool, endpoint.endpoint_entry().endpoint.id)
         prefer_endpoints(gateway, *endpoints)
         endpoints[0].script = respond_malformed
         send = UpstreamConnection.send
--- a/tests/support/upstream.py
+++ b/tests/support/upstream.py
@@ -106,7 +106,7 @@
 
     async def wait_until_reusable(self) -> None:
         """Wait until idle connections may be used again."""
-        await wait_until_settled(self.pool, ENDPOINT_ID)
+        await wait_until_reusable(self.pool, ENDPOINT_ID)
 
     async def wait_until_disconnected(self) -> None:
         """Wait until all connections to the endpoint are closed."""
@@ -184,7 +184,7 @@
         monkeypatch.setattr(loop, "create_connection", connect_when_allowed)
 
 
-async def wait_until_settled(pool: UpstreamPool, endpoint_id: EndpointId) -> None:
+async def wait_until_reusable(pool: UpstreamPool, endpoint_id: EndpointId) -> None:
     """Wait until all connections to an endpoint that are idle now may be used again."""
     loop = asyncio.get_running_loop()
     idle = pool.idle_connections(endpoint_id)
