--- a/http_gateway/net/request_dispatcher.py
+++ b/http_gateway/net/request_dispatcher.py
@@ -158,7 +158,7 @@
     def _handle_event(self, event: Event) -> None:
         """Pass one event to the policy and execute the resulting actions.
 
-        An exception fails only the request that the event belongs to. The process and all other requests
+        An exception fails at most the request that the event belongs to. The process and all other requests
         continue.
         """
         try:
--- a/tests/integration/test_request_dispatcher.py
+++ b/tests/integration/test_request_dispatcher.py
@@ -233,7 +233,7 @@
 
 @async_test
 async def test_concurrent_requests_right_after_the_start_are_not_shed() -> None:
-    """The initial concurrency limit of an endpoint has to admit a burst of 8 requests at the start."""
+    """All clients send requests at once, and the initial limit of an endpoint has to admit them."""
     async with (
         start_peers(never_respond) as (endpoint,),
         running_gateway(endpoint.endpoint_entry()) as gateway,
--- a/tests/integration/test_upstream_outcomes.py
+++ b/tests/integration/test_upstream_outcomes.py
@@ -131,7 +131,7 @@
         listener = stack.enter_context(socket.socket())
         listener.bind(("127.0.0.1", 0))
         listener.listen(0)
-        for _ in range(3):  # the kernel drops further connects when the backlog is full
+        for _ in range(3):  # a full backlog drops further connects, like an unreachable endpoint
             other = stack.enter_context(socket.socket())
             other.setblocking(False)
             other.connect_ex(listener.getsockname())
@@ -169,7 +169,7 @@
 async def test_reset_before_the_request_is_completely_written_is_a_connect_failure(body_bytes: int) -> None:
     """The endpoint received only a part of the request, so it cannot have executed it.
 
-    With the small body only a few bytes are missing, with the large one most of them.
+    The two body sizes leave few or many bytes unsent.
     """
     listener = socket.socket()
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SMALL_BUFFER_BYTES)
--- a/tests/support/upstream.py
+++ b/tests/support/upstream.py
@@ -123,7 +123,7 @@
 
 
 class SlowReadingEndpoint:
-    """An endpoint that does not read from its connection, which has small buffers on both sides."""
+    """An endpoint that reads only when the test does so, over a connection with small buffers."""
 
     def __init__(self) -> None:
         self._listener = socket.socket()
