--- a/http_gateway/net/request_dispatcher.py
+++ b/http_gateway/net/request_dispatcher.py
@@ -1,4 +1,8 @@
-"""Drives one `Balancer`: feeds it events, executes its actions, and keeps its timers and the deadlines."""
+"""Connects the policy with the network side of the gateway.
+
+The dispatcher passes events to one `Balancer`, executes the actions that it returns, and runs its timers and
+the deadline timers of the requests.
+"""
 
 from __future__ import annotations
 
@@ -41,13 +45,18 @@
 
 log = logging.getLogger(__name__)
 
-# Microseconds before the client's own limit by which its response is due: the limit includes the network in
-# both directions, and the event loop may run late.
+# The gateway's deadline for a response is this many microseconds before the client's timeout. The margin
+# covers the network latency in both directions and delays of the event loop.
 RESPONSE_MARGIN_US = 15_000
 
 
 class RequestDispatcher:
-    """Has every submitted request answered exactly once, as the policy decides."""
+    """Answers every submitted request exactly once, as the policy decides.
+
+    Args:
+        balancer: the policy.
+        pool: opens connections to endpoints and sends the attempts on them.
+    """
 
     def __init__(self, balancer: Balancer, pool: UpstreamPool) -> None:
         self._balancer = balancer
@@ -62,33 +71,37 @@
 
     @property
     def has_endpoint_list(self) -> bool:
-        """Whether a list with endpoints has been received or read from the cache."""
+        """Whether a non-empty endpoint list has been received from discovery or read from the cache."""
         return self._has_endpoint_list
 
     @property
     def unanswered_count(self) -> int:
-        """How many requests need a response."""
+        """Number of requests that have no final response yet."""
         return sum(request.needs_response for request in self._requests.values())
 
     @property
     def in_flight_count(self) -> int:
-        """How many requests need a response, or have attempts in flight."""
+        """Number of requests that have no final response yet or still have attempts in flight."""
         return len(self._requests)
 
     @property
     def submitted_count(self) -> int:
-        """How many requests have been submitted."""
+        """Number of requests submitted since the start."""
         return self._submitted_count
 
     def update_endpoints(self, endpoint_list: EndpointList, is_cached: bool = False) -> None:
-        """Apply an endpoint list.
+        """Apply an endpoint list to the policy and to the connection pool.
 
-        The policy is notified before the pool: an attempt that the pool ends at a draining endpoint must not
-        be retried at another one that the same list drains.
+        The policy is updated first. The pool ends attempts that are still connecting to a draining endpoint,
+        and the policy must not retry them at another endpoint that drains in the same list.
+
+        Args:
+            endpoint_list: a complete list or the changes since the last one.
+            is_cached: whether the list was read from the cache; the pool treats it as complete.
         """
         self._has_endpoint_list = self._has_endpoint_list or bool(endpoint_list.entries)
         endpoints = tuple(entry.endpoint for entry in endpoint_list.entries)
-        self._feed(EndpointListUpdate(_update_kind(endpoint_list, is_cached), endpoints))
+        self._dispatch_event(EndpointListUpdate(_update_kind(endpoint_list, is_cached), endpoints))
         self._pool.update_endpoints(endpoint_list.entries, endpoint_list.is_complete or is_cached)
 
     def submit(
@@ -97,7 +110,17 @@
         respond: ResponseCallback,
         has_client_disconnected: Callable[[], bool] = lambda: False,
     ) -> RequestId:
-        """Have a request served; `respond` is called exactly once, unless the request is abandoned."""
+        """Submit a client's request to the policy.
+
+        Args:
+            client_request: the request and its timeout.
+            respond: called exactly once with the final response, unless the request is abandoned.
+            has_client_disconnected: whether the client has disconnected, even if the event loop has not
+                handled the disconnect yet.
+
+        Returns:
+            The id of the request.
+        """
         self._submitted_count += 1
         request_id = self._submitted_count
         timeout_us = max(1, client_request.timeout_us - RESPONSE_MARGIN_US)
@@ -105,34 +128,42 @@
         request = DispatchedRequest(client_request, respond, has_client_disconnected, deadline_at_us)
         self._requests[request_id] = request
         self._start_deadline_timer(request_id, request, timeout_us)
-        self._feed(_arrival(request_id, client_request, timeout_us))
+        self._dispatch_event(_request_arrived_event(request_id, client_request, timeout_us))
         return request_id
 
     def abandon(self, request_id: RequestId) -> None:
-        """The client has disconnected: send neither a response nor another attempt."""
+        """Abandon a request whose client has disconnected: no response and no further attempt is sent."""
         request = self._requests.get(request_id)
         if request is not None and request.needs_response:
             request.abandon()
-            self._feed(RequestAbandoned(request_id))
+            self._dispatch_event(RequestAbandoned(request_id))
             self._release_if_answered(request_id)
 
-    def _feed(self, event: Event) -> None:
-        """Have the policy handle events one by one: executing an action may cause the next event."""
+    def _dispatch_event(self, event: Event) -> None:
+        """Queue an event and handle all queued events in order.
+
+        Executing an action may cause another event. It is queued, so that the policy finishes the current
+        event first.
+        """
         self._events.append(event)
         if self._is_handling_events:
             return
         self._is_handling_events = True
         try:
             while self._events:
-                self._handle(self._events.popleft())
+                self._handle_event(self._events.popleft())
         finally:
             self._is_handling_events = False
 
-    def _handle(self, event: Event) -> None:
-        """Handle one event; a fault fails its own request, and neither the process nor another request."""
+    def _handle_event(self, event: Event) -> None:
+        """Pass one event to the policy and execute the resulting actions.
+
+        An exception fails at most the request that the event belongs to. The process and all other requests
+        continue.
+        """
         try:
             for action in self._balancer.handle(event, self._clock.now_us()):
-                self._execute(action)
+                self._execute_action(action)
             if isinstance(event, RequestArrived | AttemptEnded):
                 self._release_if_answered(event.request_id)
         except Exception:
@@ -140,7 +171,7 @@
             if isinstance(event, RequestArrived | AttemptEnded):
                 self._fail(event.request_id, HTTPStatus.INTERNAL_SERVER_ERROR)
 
-    def _execute(self, action: Action) -> None:
+    def _execute_action(self, action: Action) -> None:
         match action:
             case StartAttempt():
                 self._start_attempt(action)
@@ -151,9 +182,10 @@
             case FailRequest(request_id):
                 self._respond(request_id, Response(HTTPStatus.BAD_GATEWAY))
             case SetTimer(delay_us, token):
-                self._loop.call_later(delay_us / US_PER_S, self._feed, TimerFired(token))
+                self._loop.call_later(delay_us / US_PER_S, self._dispatch_event, TimerFired(token))
             case _:
-                # WatchEndpointList: the watch always runs. CheckHealth: no health checks are sent.
+                # WatchEndpointList needs no action because the gateway always watches the endpoint list.
+                # CheckHealth is ignored because the gateway sends no health checks.
                 pass
 
     def _start_attempt(self, action: StartAttempt) -> None:
@@ -166,7 +198,7 @@
         if request.needs_response and expires_at_us > now_us:
             upstream_attempt = self._start_upstream_attempt(action, request, number, expires_at_us, now_us)
         if upstream_attempt is None:
-            self._attempt_ended(action.request_id, number, Outcome.NOT_SENT, None)
+            self._on_attempt_end(action.request_id, number, Outcome.NOT_SENT, None)
         elif not attempt.has_ended:
             attempt.start(upstream_attempt)
             if expires_at_us < request.deadline_at_us:
@@ -176,17 +208,17 @@
         self, action: StartAttempt, request: DispatchedRequest, number: int, expires_at_us: int, now_us: int
     ) -> UpstreamAttempt | None:
         expires_at_s = self._loop.time() + (expires_at_us - now_us) / US_PER_S
-        last_byte_before_s = math.inf
+        last_byte_deadline_s = math.inf
         if action.last_byte_before_us:
-            last_byte_before_s = self._loop.time() + (action.last_byte_before_us - now_us) / US_PER_S
-        request.limit_last_byte(last_byte_before_s)
+            last_byte_deadline_s = self._loop.time() + (action.last_byte_before_us - now_us) / US_PER_S
+        request.tighten_last_byte_deadline(last_byte_deadline_s)
         return self._pool.start_attempt(
             action.endpoint_id,
             request.client_request.message,
             expires_at_s,
-            on_end=partial(self._attempt_ended, action.request_id, number),
-            is_wanted=partial(self._is_wanted, action.request_id),
-            last_byte_before_s=last_byte_before_s,
+            on_end=partial(self._on_attempt_end, action.request_id, number),
+            is_client_waiting=partial(self._is_client_waiting, action.request_id),
+            last_byte_deadline_s=last_byte_deadline_s,
         )
 
     def _cancel_attempt(self, request_id: RequestId, attempt_number: int) -> None:
@@ -195,14 +227,18 @@
         if attempt is not None:
             attempt.stop(Outcome.CANCELLED)
 
-    def _is_wanted(self, request_id: RequestId) -> bool:
-        """Whether the client still waits; on a late event loop its disconnect may not have been handled."""
+    def _is_client_waiting(self, request_id: RequestId) -> bool:
+        """Return whether the client still waits for a response.
+
+        If the client has disconnected but a delayed event loop has not handled this yet, the request is
+        abandoned here.
+        """
         request = self._requests.get(request_id)
         if request is not None and request.needs_response and request.has_client_disconnected():
             self.abandon(request_id)
         return request is not None and request.needs_response
 
-    def _attempt_ended(
+    def _on_attempt_end(
         self, request_id: RequestId, attempt_number: int, outcome: Outcome, response: Message | None
     ) -> None:
         request = self._requests[request_id]
@@ -210,7 +246,7 @@
         attempt.end()
         if outcome is Outcome.OK and response is not None:
             request.respond(Response(HTTPStatus.OK, response.headers, response.body))
-        self._feed(
+        self._dispatch_event(
             AttemptEnded(
                 request_id,
                 attempt_number,
@@ -228,7 +264,10 @@
             request.respond(response)
 
     def _release_if_answered(self, request_id: RequestId) -> None:
-        """Write nothing more for a request without a waiting client; release it once all attempts end."""
+        """Cancel the unwritten attempts of a request that needs no response any more.
+
+        The request is removed once all its attempts have ended.
+        """
         request = self._requests.get(request_id)
         if request is None or request.needs_response:
             return
@@ -240,29 +279,32 @@
     def _start_deadline_timer(
         self, request_id: RequestId, request: DispatchedRequest, remaining_us: int
     ) -> None:
-        timer = self._loop.call_later(remaining_us / US_PER_S, self._expire, request_id)
+        timer = self._loop.call_later(remaining_us / US_PER_S, self._on_deadline, request_id)
         request.set_deadline_timer(timer)
 
-    def _expire(self, request_id: RequestId) -> None:
-        """Time out the attempts of a request at its deadline, which makes the policy answer it."""
+    def _on_deadline(self, request_id: RequestId) -> None:
+        """Time out all attempts of a request that has reached its deadline.
+
+        The ends of the attempts normally make the policy answer the request; otherwise it gets a 504.
+        """
         request = self._requests.get(request_id)
         if request is None:
             return
         remaining_us = request.deadline_at_us - self._clock.now_us()
-        if remaining_us > 0:  # the loop's clock is coarser than the one that the policy is given
+        if remaining_us > 0:  # loop timers use a coarser clock than the policy and may fire early
             self._start_deadline_timer(request_id, request, remaining_us)
             return
         request.time_out_attempts()
         self._fail(request_id, HTTPStatus.GATEWAY_TIMEOUT)
 
     def _fail(self, request_id: RequestId, status: HTTPStatus) -> None:
-        """Answer a request for which the policy gave no response; does nothing if it has one."""
+        """Answer a request with this status if the policy has not answered it, and cancel its attempts."""
         request = self._requests.get(request_id)
         if request is None or not request.needs_response:
             return
         log.error("policy gave no response request_id=%d status=%d", request_id, status)
         request.respond(Response(status))
-        self._feed(RequestAbandoned(request_id))
+        self._dispatch_event(RequestAbandoned(request_id))
         request.cancel_attempts()
         self._release_if_answered(request_id)
 
@@ -273,7 +315,9 @@
     return ListUpdateKind.COMPLETE if endpoint_list.is_complete else ListUpdateKind.DELTA
 
 
-def _arrival(request_id: RequestId, client_request: ClientRequest, timeout_us: int) -> RequestArrived:
+def _request_arrived_event(
+    request_id: RequestId, client_request: ClientRequest, timeout_us: int
+) -> RequestArrived:
     return RequestArrived(
         request_id,
         client_request.class_name,
