--- a/http_gateway/policy/endpoint.py
+++ b/http_gateway/policy/endpoint.py
@@ -1,4 +1,4 @@
-"""An endpoint as discovery describes it."""
+"""The description of an endpoint, as service discovery publishes it."""
 
 from __future__ import annotations
 
@@ -9,21 +9,21 @@
 
 
 class EndpointState(Enum):
-    """What discovery says of an endpoint."""
+    """The lifecycle state of an endpoint in the endpoint list."""
 
     READY = "ready"
-    DRAINING = "draining"  # finishes what it has and takes nothing new; an unknown state is read as this
+    DRAINING = "draining"  # finishes its requests in flight and takes no new ones; also any unknown state
     REMOVED = "removed"
 
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """One endpoint of the endpoint list."""
+    """One entry of the endpoint list."""
 
     id: EndpointId
     state: EndpointState = EndpointState.READY
     zone: str = ""
     machine_type: str = ""
-    deduplication_group: int | None = None  # None: not known
+    deduplication_group: int | None = None  # None if discovery does not publish it
     weight: float = 1.0
-    started_at_us: int = 0  # moment of its latest start; 0: long ago
+    started_at_us: int = 0  # time of the latest start; 0 if the endpoint has been up for a long time
--- a/http_gateway/policy/tracked_endpoint.py
+++ b/http_gateway/policy/tracked_endpoint.py
@@ -1,4 +1,7 @@
-"""What a gateway knows of one endpoint: its description, breakers, concurrency, load and warm-up bucket."""
+"""The state that a gateway keeps for one endpoint.
+
+It consists of the endpoint's description, circuit breakers, concurrency limit, load and warm-up bucket.
+"""
 
 from __future__ import annotations
 
@@ -16,7 +19,7 @@
 
 @dataclass(slots=True, eq=False)
 class TrackedEndpoint:
-    """One endpoint from one of its starts to the next."""
+    """One endpoint between two of its starts; a restarted endpoint is tracked anew."""
 
     endpoint: Endpoint
     random: Random
@@ -24,38 +27,49 @@
     load: LoadScore
     warm_up_bucket: WarmUpBucket
     concurrency: ConcurrencyLimit = field(default_factory=ConcurrencyLimit)
-    class_breakers: dict[str, RequestClassBreaker] = field(default_factory=dict)  # by class name
+    class_breakers: dict[str, RequestClassBreaker] = field(default_factory=dict)  # by request class name
 
     @classmethod
     def create(
         cls, endpoint: Endpoint, random: Random, bucket: WarmUpBucket, gateway_count: int = 1
     ) -> TrackedEndpoint:
-        """Begin to track an endpoint that was listed or has restarted."""
+        """Create the state of an endpoint that is new in the list or has restarted.
+
+        Args:
+            endpoint: The endpoint as listed.
+            random: The source of jitter for the circuit breakers.
+            bucket: The token bucket that limits requests during the warm-up.
+            gateway_count: The number of gateways that send to the endpoint. Each of them observes only a
+                part of the endpoint's failures, so failures are remembered for longer when there are many.
+
+        Returns:
+            The state, without any recorded load or failure.
+        """
         load = LoadScore(FAILURE_WINDOW_PER_GATEWAY_US * gateway_count)
         return cls(endpoint, random, CircuitBreaker(random), load, bucket)
 
     @property
     def id(self) -> EndpointId:
-        """The endpoint's id."""
+        """The id of the endpoint."""
         return self.endpoint.id
 
     def update(self, endpoint: Endpoint) -> None:
-        """Follow a change of the list that is not a restart."""
+        """Replace the description after a list change that is not a restart."""
         self.endpoint = endpoint
 
     def load_score(self, now_us: int) -> float:
-        """The present load; of two endpoints the one with the lower score is tried first."""
+        """Return the current load score; of two endpoints, the one with the lower score is preferred."""
         return self.load.score(self.concurrency.in_flight, now_us)
 
     def class_breaker(self, request_class: RequestClass) -> RequestClassBreaker:
-        """The breaker of a request class, made when it is first needed."""
+        """Return the circuit breaker of a request class, creating it on first use."""
         breaker = self.class_breakers.get(request_class.name)
         if breaker is None:
             breaker = self.class_breakers[request_class.name] = RequestClassBreaker(self.random)
         return breaker
 
     def admits(self, request_class: RequestClass, now_us: int) -> bool:
-        """Whether limit and breakers admit a request of this class."""
+        """Return whether the concurrency limit and both circuit breakers admit a request of this class."""
         return (
             self.concurrency.has_capacity
             and self.breaker.admits(now_us)
@@ -63,7 +77,11 @@
         )
 
     def record_response(self, request_class: RequestClass, attempt: Attempt, now_us: int) -> None:
-        """Record a response at the breakers; after a verdict only that its class is answered counts."""
+        """Report a response to the circuit breakers.
+
+        If the attempt was already judged while in flight, for example as too slow, its response is no success
+        for the endpoint's breaker. It still shows the class breaker that the endpoint answers this class.
+        """
         if not attempt.is_judged:
             self.breaker.record_success(attempt.is_probe)
         is_class_probe = attempt.is_class_probe and not attempt.is_judged
--- a/tests/support/tracked_endpoints.py
+++ b/tests/support/tracked_endpoints.py
@@ -1,4 +1,4 @@
-"""Tracked endpoints for tests of single modules of the policy."""
+"""Creates tracked endpoints for unit tests of policy modules."""
 
 from __future__ import annotations
 
@@ -11,6 +11,6 @@
 
 
 def track(endpoints: Iterable[Endpoint]) -> list[TrackedEndpoint]:
-    """Return tracked endpoints with empty warm-up buckets."""
+    """Return the tracked state of endpoints, with empty warm-up buckets."""
     random = Random(1)
     return [TrackedEndpoint.create(endpoint, random, WarmUpBucket(0)) for endpoint in endpoints]
