--- a/http_gateway/policy/subsetting.py
+++ b/http_gateway/policy/subsetting.py
@@ -1,4 +1,4 @@
-"""Subsetting: which endpoints a gateway keeps to, where there are many gateways."""
+"""Deterministic subsetting: with many gateways, each of them uses only a part of the endpoints."""
 
 from __future__ import annotations
 
@@ -11,7 +11,9 @@
 from http_gateway.policy.settings import Settings
 from http_gateway.policy.tracked_endpoint import TrackedEndpoint
 
-GATEWAYS_PER_ENDPOINT = 20  # where there are more gateways than that
+# Each endpoint serves at least this many gateways, if there are as many. With fewer than twice this number of
+# gateways, every gateway uses every endpoint.
+GATEWAYS_PER_ENDPOINT = 20
 MIN_SUBSET_SIZE = 4  # endpoints
 
 _DIGEST_BYTES = 8
@@ -20,34 +22,50 @@
 
 @dataclass(frozen=True, slots=True)
 class Subset:
-    """The endpoints of a gateway."""
+    """The endpoints of one gateway, divided into its subset and the others."""
 
-    members: list[TrackedEndpoint]  # those it keeps to; endpoint selection shuffles them in place
-    fallbacks: list[TrackedEndpoint]  # all others, in the order in which they are tried
-    slice_count: int  # one gateway in so many keeps to an endpoint
+    members: list[TrackedEndpoint]  # the gateway's subset; endpoint selection shuffles this list in place
+    fallbacks: list[TrackedEndpoint]  # all other endpoints, in the order in which they are tried
+    slice_count: int  # number of slices that the endpoints are cut into; one gateway in so many uses each one
 
 
 def choose_subset(endpoints: Collection[TrackedEndpoint], settings: Settings) -> Subset:
-    """The part of the endpoints that this gateway keeps to.
+    """Choose the subset of the endpoints that this gateway normally sends to.
 
-    Gateways in turn cut the same shuffled ring into equal slices, so each endpoint serves equally many of
-    them: with a connection from each of hundreds of gateways its connection table would be full.
+    A subset bounds the connections of an endpoint: connections from each of hundreds of gateways would fill
+    its connection table. Consecutive gateways form rounds of `slice_count` gateways. The gateways of one
+    round shuffle the endpoints in the same way, and each takes a different slice of equal size. Every
+    endpoint therefore serves the same number of gateways, plus or minus one.
+
+    Args:
+        endpoints: All ready endpoints.
+        settings: The settings of this gateway, with its index and the number of gateways.
+
+    Returns:
+        The subset of this gateway, and the remaining endpoints as fallbacks.
     """
     total = len(endpoints)
     slice_count = max(1, min(settings.gateway_count // GATEWAYS_PER_ENDPOINT, total // MIN_SUBSET_SIZE))
-    ring_number, place = divmod(settings.gateway_index, slice_count)
-    ring_key = str(ring_number)
-    ring = sorted(endpoints, key=lambda tracked: _hash(ring_key, tracked.endpoint.id))
-    first, end = place * total // slice_count, (place + 1) * total // slice_count
-    return Subset(ring[first:end], ring[end:] + ring[:first], slice_count)
+    round_number, slice_index = divmod(settings.gateway_index, slice_count)
+    round_key = str(round_number)
+    shuffled = sorted(endpoints, key=lambda tracked: _hash(round_key, tracked.endpoint.id))
+    first, end = slice_index * total // slice_count, (slice_index + 1) * total // slice_count
+    return Subset(shuffled[first:end], shuffled[end:] + shuffled[:first], slice_count)
 
 
 def rank_by_key(
     key: str, endpoints: Iterable[TrackedEndpoint], zone_weights: Mapping[str, float]
 ) -> list[TrackedEndpoint]:
-    """Weighted rendezvous hashing: the endpoints in the order in which they serve a request key.
+    """Rank endpoints for a request key by weighted rendezvous hashing.
+
+    Args:
+        key: The key of the request.
+        endpoints: The endpoints to rank.
+        zone_weights: The weight of each zone. Over all keys, an endpoint ranks first in proportion to the
+            weight of its zone.
 
-    Over all keys each endpoint stands first as often as the weight of its zone says.
+    Returns:
+        The endpoints in the order in which they are preferred for the key.
     """
 
     def score(tracked: TrackedEndpoint) -> float:
@@ -58,5 +76,5 @@
 
 
 def _hash(key: str, endpoint: EndpointId) -> int:
-    """A number that is the same at every gateway, and evenly spread over keys and endpoints."""
+    """Return a hash that is the same at every gateway, and uniform over keys and endpoints."""
     return int.from_bytes(blake2b(f"{key} {endpoint}".encode(), digest_size=_DIGEST_BYTES).digest(), "big")
--- a/tests/unit/policy/test_subsetting.py
+++ b/tests/unit/policy/test_subsetting.py
@@ -1,4 +1,4 @@
-"""Which endpoints a gateway keeps to where there are many gateways, and which of two it tries first."""
+"""The subset of endpoints that a gateway uses, and the choice between two endpoints by their load."""
 
 from __future__ import annotations
 
@@ -24,8 +24,8 @@
     assert endpoints_used(3, 5, 12, request_count=200) == set(range(1, 13))
 
 
-def test_every_endpoint_serves_equally_many_of_many_gateways() -> None:
-    """With a connection from each of hundreds of gateways, connection tables were full."""
+def test_every_endpoint_serves_the_same_number_of_gateways() -> None:
+    """Connections from each of hundreds of gateways would fill the connection table of an endpoint."""
     gateway_count, endpoint_count = 8 * GATEWAYS_PER_ENDPOINT, 64
     gateways_of_endpoint = Counter(
         endpoint_id
@@ -36,14 +36,14 @@
     assert set(gateways_of_endpoint.values()) == {GATEWAYS_PER_ENDPOINT}
 
 
-def test_endpoints_outside_the_subset_are_used_where_it_admits_nothing() -> None:
+def test_endpoints_outside_the_subset_are_used_when_it_admits_no_request() -> None:
     settings = Settings(CLASSES, gateway_count=100 * GATEWAYS_PER_ENDPOINT, gateway_index=7, max_attempts=9)
     driver = PolicyDriver(settings, 40)
     used = {driver.in_flight(driver.send_request())[0].endpoint_id for _ in range(50)}
     assert len(used) > 4
 
 
-def test_faster_of_two_endpoints_is_tried_first() -> None:
+def test_faster_of_two_endpoints_is_preferred() -> None:
     driver = PolicyDriver(Settings(CLASSES), 2, seed=3)
     for _ in range(60):
         attempt = driver.in_flight(driver.send_request())[0]
@@ -52,8 +52,8 @@
     assert sum(attempt.endpoint_id == 2 for attempt in driver.attempts[20:]) > 30
 
 
-def test_latency_that_is_not_observed_again_is_forgotten() -> None:
-    """An endpoint that was slow once would never be tried first again."""
+def test_high_latency_is_forgotten_unless_observed_again() -> None:
+    """Otherwise an endpoint that was slow once would never be tried first again."""
     driver = PolicyDriver(Settings(CLASSES), 2, seed=3)
     used = []
     for _ in range(60):
@@ -65,8 +65,12 @@
     assert 15 < used.count(1) < 45
 
 
-def test_endpoint_that_failed_recently_is_tried_second() -> None:
-    """Failing every other request keeps its breakers closed: each success clears failures."""
+def test_endpoint_that_failed_recently_is_rarely_tried_first() -> None:
+    """An endpoint that fails every other request gets few first attempts.
+
+    Its circuit breakers stay closed, because each success clears the recorded failures. Only the load score
+    can direct requests away from it.
+    """
     driver = PolicyDriver(Settings(CLASSES, gateway_count=40), 2, seed=3)
     tried_first, attempts_at_failing = [], 0
     for _ in range(60):
@@ -84,7 +88,7 @@
 
 def test_failures_are_forgotten() -> None:
     driver = PolicyDriver(Settings(CLASSES, gateway_count=40), 2, seed=3)
-    for _ in range(20):  # every request fails at endpoint 1
+    for _ in range(20):  # endpoint 1 fails every request
         attempt = driver.in_flight(driver.send_request())[0]
         driver.advance(10 * US_PER_MS)
         driver.end_attempt(attempt, Outcome.ERROR if attempt.endpoint_id == 1 else Outcome.OK)
