--- a/tests/unit/policy/test_zone_weights.py
+++ b/tests/unit/policy/test_zone_weights.py
@@ -1,4 +1,4 @@
-"""Where requests go if crossing zones has a cost."""
+"""The distribution of requests over zones if requests to other zones have a cost."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 @pytest.mark.parametrize("endpoints_per_zone", ENDPOINTS_PER_ZONE)
 @pytest.mark.parametrize("capacity_fraction", [1.0, 0.2])
-def test_weights_of_all_zones_together_are_equal_for_each_unit_of_capacity(
+def test_weights_summed_over_all_gateway_zones_are_equal_for_each_unit_of_capacity(
     endpoints_per_zone: tuple[int, ...], capacity_fraction: float
 ) -> None:
     tracked_endpoints = track(zoned_endpoints(endpoints_per_zone))
@@ -56,10 +56,13 @@
 @pytest.mark.parametrize(
     ("endpoints_per_zone", "remote_fraction"), [((10, 10, 10), 0.0), ((5, 10, 15), 0.5), ((15, 10, 5), 0.0)]
 )
-def test_requests_stay_in_their_zone_as_far_as_it_has_capacity(
+def test_requests_stay_in_their_zone_up_to_its_capacity(
     endpoints_per_zone: tuple[int, ...], remote_fraction: float
 ) -> None:
-    """Three in five requests of forty gateways crossed zones, each at a cost and 20 ms later."""
+    """Without zone preference most requests go to other zones.
+
+    Three in five requests of forty gateways did so, each at a cost and 20 ms later.
+    """
     driver = PolicyDriver(zone_settings("a"), 0)
     endpoints = zoned_endpoints(endpoints_per_zone)
     driver.notify_endpoints(endpoints)
@@ -69,12 +72,13 @@
         driver.end_attempt(driver.in_flight()[0])
     attempts_in_zone = Counter(endpoints[attempt.endpoint_id - 1].zone for attempt in driver.attempts)
     measured = 1 - attempts_in_zone["a"] / len(driver.attempts)
-    assert measured == pytest.approx(remote_fraction, abs=0.15)  # of two endpoints the less busy is chosen
-    # They go where there is capacity to spare.
+    # The tolerance is needed because the less loaded of two endpoints is chosen.
+    assert measured == pytest.approx(remote_fraction, abs=0.15)
+    # Requests that leave the zone go to the zone with spare capacity.
     assert remote_fraction == 0 or attempts_in_zone["c"] > 10 * attempts_in_zone["b"]
 
 
-def test_other_zones_are_used_where_no_local_endpoint_admits() -> None:
+def test_other_zones_are_used_when_no_local_endpoint_admits_requests() -> None:
     driver = PolicyDriver(zone_settings("a"), 0)
     endpoints = zoned_endpoints((2, 2, 2))
     driver.notify_endpoints(endpoints)
@@ -96,6 +100,6 @@
         zone_settings("a", gateway_count=1),
     ],
 )
-def test_all_zones_weigh_alike_without_zone_preference(settings: Settings) -> None:
-    """Crossing zones costs nothing, the gateway's zone has no endpoint, or there is a single gateway."""
+def test_zones_have_equal_weights_without_zone_preference(settings: Settings) -> None:
+    """Three cases: other zones cost nothing, the local zone has no endpoint, or there is only one gateway."""
     assert zone_weights({"a": 10.0, "b": 30.0}, settings) == pytest.approx({"a": 1 / 40, "b": 1 / 40})
