--- a/http_gateway/policy/slow_start.py
+++ b/http_gateway/policy/slow_start.py
@@ -1,33 +1,35 @@
-"""Slow start: what a gateway may send to endpoints that have started lately.
-
-An endpoint that is warming up falls over when it gets more than N requests of mean work, and some for chance,
-from all gateways together within the overload window T. N is the overload factor M times what the endpoint
-can do within T at its present capacity. Gateways share nothing, so each has a token bucket for each such
-endpoint. A request takes its cost out of the bucket when it is decided on, whatever becomes of it. The bucket
-is filled from two sources:
-
-1. Refill, at a ratio R of the gateway's part of N. What an endpoint can do is estimated by what the warm
-   endpoints of its machine type do. Each gateway divides the work that they did for it by their number; over
-   all gateways that adds up to what the mean warm endpoint takes, however the work was spread over the warm
-   ones. The part of it for one endpoint that is warming up is proportional to the work that would be meant
-   for it if all were warm, in relation to the others of its machine type: over the endpoints of a type these
-   parts have a mean of 1, wherever the warm ones may be. With subsets, only the gateways that keep to an
-   endpoint refill its bucket, and each stands for as many as there are slices.
-2. Credit: a ratio A of the cost of what the endpoint answered is given back. That follows what it can really
-   do, which the estimate cannot know: it may be warmer than the least that the settings promise.
-
-What all gateways send arrives within T at most as follows:
-
-- Refilled: a request counts when its last byte arrives, and to an endpoint that has just started every
-  connection is new, so what was decided on within T and the connect timeout C may arrive within T. On top of
-  that comes what was saved up, for a time S at most: R * N * (T + C + S) / T.
-- Credited: the endpoint answers N / M within T. Earlier credit decays with the time constant F, and is spent
-  on connections that are up: A * N / M * (T + F) / T.
-
-A is 1, or less where the second line would exceed `MAX_CREDIT_PART` of N, and R is such that both add up to
-N. An endpoint withstands two requests more than N, and 2 x root of N for chance. So where nothing is known
-yet, and from outside the subset, all gateways together still send one request each overload window, or each
-time over which rates are averaged, if that is longer.
+"""Slow start: limits the work that a gateway sends to endpoints that have started recently.
+
+An endpoint that is warming up fails if all gateways together send it more than a budget of N requests of mean
+work, plus a margin for random variation, within the overload window T. N is the overload factor M times the
+work that the endpoint can do within T at its present capacity. Gateways share no state, so each of them keeps
+a token bucket for each such endpoint. A request takes its cost out of the bucket when it is assigned to the
+endpoint, whatever its outcome. The bucket gets tokens from two sources:
+
+1. Refill. Per overload window, the bucket gets the ratio R of the gateway's share of N. To compute that
+   share, the throughput of an endpoint is estimated from the throughput of the warm endpoints of its machine
+   type. Each gateway divides the work that the warm endpoints did for it by their number. Summed over all
+   gateways, this is the throughput of the mean warm endpoint, however the work was distributed among the warm
+   ones. It is multiplied by the endpoint's relative demand: the work that would be intended for it if all
+   endpoints were warm, relative to the others of its machine type. The relative demand has a mean of 1 over
+   the endpoints of a type, whichever zones the warm ones are in. With subsets, only the gateways whose subset
+   contains an endpoint refill its bucket, and each of them counts as many times as there are slices.
+2. Credit. The ratio A of the cost of each response is returned to the bucket. Credit follows the real
+   capacity of the endpoint, which the estimate cannot know: the endpoint may be warmer than the minimum that
+   the settings guarantee.
+
+The work that arrives from all gateways within T has an upper bound for each source:
+
+- Refill: R * N * (T + C + S) / T. A request counts when its last byte arrives. An endpoint that has just
+  started has no open connections, so requests assigned within T plus the connect timeout C may all arrive
+  within T. In addition, a bucket can hold the refill of the time S.
+- Credit: A * N / M * (T + F) / T. The endpoint answers N / M within T. Earlier credit decays with the time
+  constant F, and it is spent on connections that are already open.
+
+A is 1, or less if the credit would otherwise exceed the fraction `MAX_CREDIT_FRACTION` of N. R is chosen such
+that both bounds add up to N. The margin of an endpoint is two requests, plus 2 * sqrt(N) for random
+variation. All gateways together therefore send one request per overload window (or per averaging time
+constant, if that is longer) even where no throughput is known yet, and to endpoints outside their subsets.
 """
 
 from __future__ import annotations
@@ -39,41 +41,56 @@
 from http_gateway.policy.endpoint import Endpoint
 from http_gateway.policy.settings import Settings
 from http_gateway.policy.subsetting import Subset
-from http_gateway.policy.throughput_estimate import RATE_WINDOW_US, MachineTypeThroughput
+from http_gateway.policy.throughput_estimate import RATE_TIME_CONSTANT_US, MachineTypeThroughput
 from http_gateway.policy.token_bucket import WarmUpBucket
 from http_gateway.policy.tracked_endpoint import TrackedEndpoint
 from http_gateway.policy.zone_weights import zone_weights
 
-MAX_CREDIT_PART = 0.625  # of N, for what an endpoint has answered
-# The following are in overload windows.
-MAX_SAVED_WINDOWS = 0.5  # of refill that a bucket holds at most
-# Of refill that a new bucket holds. All gateways learn of an endpoint at about the same time, and what they
-# send then arrives together.
-INITIAL_SAVED_WINDOWS = 0.25
-CREDIT_DECAY_WINDOWS = 0.25  # time constant with which credit decays
-MAX_CAPACITY = 1e6  # a listed capacity above this, or below its inverse, is wrong
+# Maximum fraction of the overload budget of an endpoint that credit for responses may use.
+MAX_CREDIT_FRACTION = 0.625
+# Maximum refill that a bucket holds, as a time in overload windows.
+MAX_BURST_WINDOWS = 0.5
+# Refill in a new bucket, as a time in overload windows. It is less than the maximum because all gateways
+# learn of a new endpoint at about the same time, so the requests that they send at once arrive together.
+INITIAL_BURST_WINDOWS = 0.25
+CREDIT_DECAY_WINDOWS = 0.25  # time constant of the decay of credit, in overload windows
+MAX_PLAUSIBLE_CAPACITY = 1e6  # a listed capacity above this, or below its inverse, is treated as an error
 
 
 class SlowStart:
-    """The warm-up buckets of a gateway's endpoints, and the estimates that refill them."""
+    """Admits requests to endpoints that are warming up.
+
+    It estimates the refill rates of the warm-up buckets from the throughput of the warm endpoints.
+    """
 
     def __init__(self, settings: Settings, random: Random) -> None:
         self._settings = settings
         self._random = random
-        self._throughputs: dict[str, MachineTypeThroughput] = {}  # by machine type, for those listed
-        self._members: frozenset[TrackedEndpoint] = frozenset()  # of the subset
-        # What would be meant for an endpoint if all were warm, as a multiple of the mean of its machine type.
+        # By machine type, for the types in the endpoint list.
+        self._throughputs: dict[str, MachineTypeThroughput] = {}
+        self._subset_members: frozenset[TrackedEndpoint] = frozenset()
         self._relative_demand: dict[TrackedEndpoint, float] = {}
         window_us = settings.overload_window_us
-        self._max_saved_us = MAX_SAVED_WINDOWS * window_us
+        self._max_burst_us = MAX_BURST_WINDOWS * window_us
         self._credit_decay_us = CREDIT_DECAY_WINDOWS * window_us
-        credited = (window_us + self._credit_decay_us) / window_us / settings.overload_factor
-        refilled = (window_us + settings.connect_timeout_us + self._max_saved_us) / window_us
-        self._credit_ratio = min(1.0, MAX_CREDIT_PART / credited)
-        self._refill_ratio = (1 - self._credit_ratio * credited) / refilled
+        # Upper bounds on the work from each source within an overload window, at ratios of 1. The unit is the
+        # overload budget of an endpoint.
+        full_credit = (window_us + self._credit_decay_us) / window_us / settings.overload_factor
+        full_refill = (window_us + settings.connect_timeout_us + self._max_burst_us) / window_us
+        self._credit_ratio = min(1.0, MAX_CREDIT_FRACTION / full_credit)
+        self._refill_ratio = (1 - self._credit_ratio * full_credit) / full_refill
 
     def capacity_fraction(self, endpoint: Endpoint, now_us: int) -> float:
-        """The least fraction of its capacity that an endpoint has by now; 1 once it is surely warm."""
+        """Return the fraction of its full capacity that an endpoint is guaranteed to have.
+
+        Args:
+            endpoint: The endpoint as listed.
+            now_us: The current time in microseconds.
+
+        Returns:
+            A fraction that rises linearly over the slow start window from the initial capacity of the
+            settings to 1. An endpoint with the fraction 1 is called warm.
+        """
         window_us, started_at_us = self._settings.slow_start_window_us, endpoint.started_at_us
         if not started_at_us or now_us >= started_at_us + window_us:
             return 1.0
@@ -83,56 +100,78 @@
     def update(
         self, capacity_fractions: Mapping[TrackedEndpoint, float], subset: Subset, now_us: int
     ) -> None:
-        """Follow the list, or time: which endpoints there are, and which of them are warm."""
-        in_zone = Counter(tracked.endpoint.zone for tracked in capacity_fractions)
-        weights = zone_weights(in_zone, self._settings)
-        total: defaultdict[str, float] = defaultdict(float)  # capacity by machine type
-        warm: defaultdict[str, float] = defaultdict(float)
+        """Recompute the estimates after a change of the endpoint list or of the endpoints' capacities.
+
+        Args:
+            capacity_fractions: All ready endpoints, with the results of `capacity_fraction`.
+            subset: The subset of this gateway.
+            now_us: The current time in microseconds.
+        """
+        endpoints_per_zone = Counter(tracked.endpoint.zone for tracked in capacity_fractions)
+        weights = zone_weights(endpoints_per_zone, self._settings)
+        # Sums over the endpoints of each machine type.
+        total_capacity: defaultdict[str, float] = defaultdict(float)
+        warm_capacity: defaultdict[str, float] = defaultdict(float)
         demand: defaultdict[str, float] = defaultdict(float)
         for tracked, fraction in capacity_fractions.items():
             endpoint = tracked.endpoint
             capacity = self._capacity(endpoint)
-            total[endpoint.machine_type] += capacity
-            warm[endpoint.machine_type] += capacity if fraction == 1 else 0
+            total_capacity[endpoint.machine_type] += capacity
+            warm_capacity[endpoint.machine_type] += capacity if fraction == 1 else 0
             demand[endpoint.machine_type] += capacity * weights[endpoint.zone]
-        self._members = frozenset(subset.members)
+        self._subset_members = frozenset(subset.members)
         self._relative_demand = {
             tracked: self._capacity(tracked.endpoint)
             * weights[tracked.endpoint.zone]
-            * total[tracked.endpoint.machine_type]
+            * total_capacity[tracked.endpoint.machine_type]
             / demand[tracked.endpoint.machine_type]
             * subset.slice_count
             for tracked in capacity_fractions
         }
         self._throughputs = {
             machine_type: self._throughputs.get(machine_type) or MachineTypeThroughput(now_us)
-            for machine_type in total
+            for machine_type in total_capacity
         }
         for machine_type, throughput in self._throughputs.items():
-            throughput.set_warm_capacity(warm[machine_type], now_us)
+            throughput.set_warm_capacity(warm_capacity[machine_type], now_us)
 
     def relative_demand(self, tracked: TrackedEndpoint) -> float:
-        """What would be meant for an endpoint if all were warm, against the mean of its machine type.
+        """Return the work intended for an endpoint if all endpoints were warm, relative to its machine type.
+
+        Args:
+            tracked: A ready endpoint.
 
-        It counts for all gateways that share a slice, so its mean over a type is the number of slices.
+        Returns:
+            A multiple of the mean work per unit of capacity of the machine type, times the number of slices,
+            since only one gateway in that many has the endpoint in its subset. The mean over the capacity of
+            a machine type is therefore the number of slices.
         """
         return self._relative_demand[tracked]
 
     def new_bucket(self, now_us: int) -> WarmUpBucket:
-        """The bucket of an endpoint that is first seen."""
-        return WarmUpBucket(now_us - round(INITIAL_SAVED_WINDOWS * self._settings.overload_window_us))
+        """Create the bucket of an endpoint that is new to this gateway."""
+        return WarmUpBucket(now_us - round(INITIAL_BURST_WINDOWS * self._settings.overload_window_us))
 
     def admits(self, tracked: TrackedEndpoint, cost_us: float, now_us: int) -> bool:
-        """Whether an endpoint is warm, or its bucket covers the cost of a request.
+        """Decide whether an endpoint may get a request.
 
-        A bucket that covers a part of the cost admits the request with that probability, and is emptied if
-        it does not. If each of many gateways saved the parts up to whole requests, all would send at once.
+        A warm endpoint may get any request. A bucket that covers only a part of the cost admits the request
+        with the corresponding probability, and is emptied if it does not. If the gateways instead saved their
+        tokens until they covered a whole request, many of them would send at the same time.
+
+        Args:
+            tracked: A ready endpoint.
+            cost_us: The cost of the request in microseconds of work.
+            now_us: The current time in microseconds.
+
+        Returns:
+            Whether the request may be sent to the endpoint. Its cost is not taken from the bucket yet.
         """
         if self.capacity_fraction(tracked.endpoint, now_us) == 1:
             return True
         bucket = tracked.warm_up_bucket
         rate = self._refill_rate(tracked, cost_us, now_us)
-        bucket.refill(rate, rate * self._max_saved_us, now_us)
+        bucket.refill(rate, rate * self._max_burst_us, now_us)
         bucket.decay(self._credit_decay_us, now_us)
         if bucket.tokens <= self._random.random() * cost_us:
             bucket.empty()
@@ -140,7 +179,16 @@
         return True
 
     def reserve(self, tracked: TrackedEndpoint, cost_us: float, now_us: int) -> float:
-        """Take the cost of a request out of an endpoint's bucket; return it, or 0 for a warm endpoint."""
+        """Take the cost of a request out of an endpoint's bucket.
+
+        Args:
+            tracked: The endpoint that the request is assigned to.
+            cost_us: The cost of the request in microseconds of work.
+            now_us: The current time in microseconds.
+
+        Returns:
+            The reserved cost in microseconds of work; 0 if the endpoint is warm.
+        """
         if self.capacity_fraction(tracked.endpoint, now_us) == 1:
             return 0.0
         tracked.warm_up_bucket.take(cost_us)
@@ -149,7 +197,14 @@
     def record_response(
         self, tracked: TrackedEndpoint, reserved_cost_us: float, cost_us: float, now_us: int
     ) -> None:
-        """Learn from a response: what warm endpoints do, or what this one can do while it warms up."""
+        """Record a response: as credit if its cost was reserved, else as throughput of a warm endpoint.
+
+        Args:
+            tracked: The endpoint that responded.
+            reserved_cost_us: The result of `reserve` for the request.
+            cost_us: The cost of the request in microseconds of work, as it is estimated now.
+            now_us: The current time in microseconds.
+        """
         if reserved_cost_us > 0:
             tracked.warm_up_bucket.decay(self._credit_decay_us, now_us)
             tracked.warm_up_bucket.add_credit(self._credit_ratio * reserved_cost_us)
@@ -157,14 +212,16 @@
             self._throughputs[tracked.endpoint.machine_type].record_response(cost_us, now_us)
 
     def _refill_rate(self, tracked: TrackedEndpoint, cost_us: float, now_us: int) -> float:
-        """Work per microsecond: one request each window from all gateways, and a part of the estimate.
+        """Return the refill rate of an endpoint's bucket, in work per unit of time.
 
-        Offered work would be no base for the estimate, since retries add to it. Nor would the work of
-        endpoints that are warming up: one that was given less than its share would stay below it.
+        The rate is a minimum, at which all gateways together send one request per window, plus a fraction of
+        the estimated throughput. The estimate uses only the completed work of warm endpoints. The offered
+        work would be too high, since retries add to it. The work of endpoints that are warming up would be
+        too low: an endpoint that once got less than its share would never get more.
         """
-        window_us = max(self._settings.overload_window_us, RATE_WINDOW_US)
+        window_us = max(self._settings.overload_window_us, RATE_TIME_CONSTANT_US)
         minimum = cost_us / window_us / self._settings.gateway_count
-        if tracked not in self._members:
+        if tracked not in self._subset_members:
             return minimum
         throughput = self._throughputs[tracked.endpoint.machine_type].rate(now_us)
         warm_rate = throughput * self._relative_demand[tracked]
@@ -172,8 +229,11 @@
         return minimum + self._refill_ratio * multiple * warm_rate
 
     def _capacity(self, endpoint: Endpoint) -> float:
-        """Relative to other endpoints; 1 where the list has none, or an impossible one."""
+        """Return the capacity of an endpoint relative to others; 1 if no plausible capacity is listed."""
         weight = endpoint.weight
-        if self._settings.weights_are_capacities and 1 / MAX_CAPACITY <= weight <= MAX_CAPACITY:
+        if (
+            self._settings.weights_are_capacities
+            and 1 / MAX_PLAUSIBLE_CAPACITY <= weight <= MAX_PLAUSIBLE_CAPACITY
+        ):
             return weight
         return 1.0
--- a/http_gateway/policy/token_bucket.py
+++ b/http_gateway/policy/token_bucket.py
@@ -1,4 +1,4 @@
-"""The token bucket that limits what a gateway sends to an endpoint that is warming up."""
+"""The token bucket that limits the work a gateway sends to an endpoint during its warm-up."""
 
 from __future__ import annotations
 
@@ -8,38 +8,48 @@
 
 @dataclass(slots=True)
 class WarmUpBucket:
-    """Tokens in microseconds of work, from two sources: a refill rate, and credit for responses."""
+    """A token bucket with two sources of tokens: a refill rate, and credit for responses.
+
+    One token stands for one microsecond of work. Both kinds of tokens pay for requests, but only credit
+    decays over time, and only refilled tokens are capped.
+    """
 
     refilled_at_us: int
-    refilled: float = 0.0  # as of `refilled_at_us`
-    credit: float = 0.0  # as of `decayed_at_us`
+    refill_tokens: float = 0.0  # as of `refilled_at_us`
+    credit_tokens: float = 0.0  # as of `decayed_at_us`
     decayed_at_us: int = 0
 
     @property
     def tokens(self) -> float:
-        """The tokens in it, as of the last `refill` and `decay`."""
-        return self.refilled + self.credit
+        """All available tokens, as of the last calls of `refill` and `decay`."""
+        return self.refill_tokens + self.credit_tokens
 
     def refill(self, rate: float, capacity: float, now_us: int) -> None:
-        """Add what has come in at `rate` since the last refill, up to `capacity`."""
-        self.refilled = min(self.refilled + rate * (now_us - self.refilled_at_us), capacity)
+        """Add the tokens that have accrued since the last refill.
+
+        Args:
+            rate: Tokens per microsecond.
+            capacity: The maximum of refilled tokens; any excess is dropped. Credit does not count towards it.
+            now_us: The current time in microseconds.
+        """
+        self.refill_tokens = min(self.refill_tokens + rate * (now_us - self.refilled_at_us), capacity)
         self.refilled_at_us = now_us
 
     def decay(self, time_constant_us: float, now_us: int) -> None:
-        """Let credit decay exponentially, by 1/e within the time constant."""
-        self.credit *= exp((self.decayed_at_us - now_us) / time_constant_us)
+        """Reduce credit exponentially: it falls to 1/e of its value within each time constant."""
+        self.credit_tokens *= exp((self.decayed_at_us - now_us) / time_constant_us)
         self.decayed_at_us = now_us
 
     def add_credit(self, amount: float) -> None:
-        """Add credit, which the caller has decayed to this moment."""
-        self.credit += amount
+        """Add credit tokens; the caller must have called `decay` for the current time first."""
+        self.credit_tokens += amount
 
     def take(self, cost: float) -> None:
-        """Take a cost out, of the credit first; the bucket may have less."""
-        from_credit = min(cost, self.credit)
-        self.credit -= from_credit
-        self.refilled = max(0.0, self.refilled - cost + from_credit)
+        """Remove the cost of a request, from credit first; a cost above the tokens empties the bucket."""
+        from_credit = min(cost, self.credit_tokens)
+        self.credit_tokens -= from_credit
+        self.refill_tokens = max(0.0, self.refill_tokens - cost + from_credit)
 
     def empty(self) -> None:
-        """Drop every token."""
-        self.refilled = self.credit = 0.0
+        """Remove all tokens."""
+        self.refill_tokens = self.credit_tokens = 0.0
--- a/tests/unit/policy/test_slow_start.py
+++ b/tests/unit/policy/test_slow_start.py
@@ -1,4 +1,4 @@
-"""The warm-up buckets of one gateway: what is reserved and credited, and how far they are refilled."""
+"""The warm-up buckets of one gateway: reserved costs, credit for responses and refill rates."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from http_gateway.policy.endpoint import Endpoint, EndpointId
 from http_gateway.policy.events import Outcome, RequestId
-from http_gateway.policy.slow_start import CREDIT_DECAY_WINDOWS, MAX_SAVED_WINDOWS, SlowStart
+from http_gateway.policy.slow_start import CREDIT_DECAY_WINDOWS, MAX_BURST_WINDOWS, SlowStart
 from http_gateway.policy.subsetting import Subset, choose_subset
 from http_gateway.policy.time_units import US_PER_MS, US_PER_S
 from http_gateway.policy.tracked_endpoint import TrackedEndpoint
@@ -30,7 +30,16 @@
 
 
 def reservations(driver: PolicyDriver, request_id: RequestId) -> list[tuple[EndpointId, float]]:
-    """The endpoints of a pending request's attempts, and what was reserved for each."""
+    """Return the reserved cost of each attempt of a pending request.
+
+    Args:
+        driver: The driver of the policy.
+        request_id: The id of the request.
+
+    Returns:
+        The endpoint and the reserved cost in microseconds of work of each attempt; empty once the request has
+        ended.
+    """
     pending = driver.balancer._pending.get(request_id)
     if pending is None:
         return []
@@ -38,7 +47,7 @@
 
 
 def test_every_attempt_at_an_endpoint_warming_up_reserves_its_cost() -> None:
-    """First attempts, fallbacks, hedged requests and probes, however they end.
+    """This holds for first attempts, retries, hedges and probes, whatever their outcome.
 
     Attempts at warm endpoints reserve nothing.
     """
@@ -54,12 +63,12 @@
     ]
     driver.notify_endpoints((*warming_up, Endpoint(5, machine_type="x")))
     outcomes = [Outcome.OK, Outcome.REJECTED, Outcome.ERROR, Outcome.CONNECT_FAILED, Outcome.TIMEOUT]
-    is_reserved: dict[bool, set[bool]] = {True: set(), False: set()}  # by whether it is warming up
+    is_reserved: dict[bool, set[bool]] = {True: set(), False: set()}  # by whether the endpoint is warming up
     attempt_count = 0
     for number in range(6000):
         request_id = driver.send_request(cost_us=COST_US)
         for turn, outcome in zip(range(3), outcomes[number % 5 :] + outcomes, strict=False):
-            if turn == 0 and driver.in_flight(request_id):  # slow: a hedged request may start
+            if turn == 0 and driver.in_flight(request_id):  # the attempt is slow, so a hedge may start
                 driver.advance(200 * US_PER_MS)
                 driver.fire_timer(driver.now_us, f"{request_id}:0")
             for endpoint_id, reserved_cost_us in reservations(driver, request_id):
@@ -79,12 +88,12 @@
     slow_start.update({tracked: 0.15}, Subset([tracked], [], 1), 0)
     reserved_cost_us = slow_start.reserve(tracked, COST_US, 0)
     assert reserved_cost_us == COST_US
-    assert tracked.warm_up_bucket.credit == 0
+    assert tracked.warm_up_bucket.credit_tokens == 0
     slow_start.record_response(tracked, reserved_cost_us, COST_US, US_PER_S)
-    assert tracked.warm_up_bucket.credit == pytest.approx(COST_US)
+    assert tracked.warm_up_bucket.credit_tokens == pytest.approx(COST_US)
     decay_us = CREDIT_DECAY_WINDOWS * settings.overload_window_us
     tracked.warm_up_bucket.decay(decay_us, US_PER_S + round(decay_us))
-    assert tracked.warm_up_bucket.credit == pytest.approx(COST_US / e)
+    assert tracked.warm_up_bucket.credit_tokens == pytest.approx(COST_US / e)
 
 
 @pytest.mark.parametrize("overload_factor", [1.05, 1.5, 2, 3, 4, 20])
@@ -93,10 +102,14 @@
 def test_refill_and_credit_within_an_overload_window_add_up_to_the_budget(
     overload_factor: float, overload_window_s: float, connect_timeout_s: float
 ) -> None:
-    """Refilled within the window and the connect timeout, saved up, and credited for responses."""
+    """All tokens that requests can use within an overload window add up to the overload budget.
+
+    They are the refill during the window and the connect timeout, the refill that a bucket can hold, and the
+    credit for responses.
+    """
     settings = slow_start_settings(overload_factor, overload_window_s, connect_timeout_s)
     slow_start = SlowStart(settings, Random(1))
-    refill_time_s = overload_window_s + connect_timeout_s + MAX_SAVED_WINDOWS * overload_window_s
+    refill_time_s = overload_window_s + connect_timeout_s + MAX_BURST_WINDOWS * overload_window_s
     refilled = slow_start._refill_ratio * refill_time_s / overload_window_s
     credited = slow_start._credit_ratio / overload_factor * (1 + CREDIT_DECAY_WINDOWS)
     assert refilled + credited == pytest.approx(1)
@@ -115,7 +128,17 @@
 
 
 def admitted_count(slow_start: SlowStart, tracked: TrackedEndpoint, begin_s: int, duration_s: int) -> int:
-    """How many requests an endpoint gets if it is offered one at each step."""
+    """Offer an endpoint one request at each step of a period.
+
+    Args:
+        slow_start: The instance that admits the requests.
+        tracked: The endpoint.
+        begin_s: The start of the period in seconds.
+        duration_s: The length of the period in seconds.
+
+    Returns:
+        The number of requests that were admitted.
+    """
     admitted = 0
     for now_us in range(begin_s * US_PER_S, (begin_s + duration_s) * US_PER_S, STEP_US):
         if slow_start.admits(tracked, COST_US, now_us):
@@ -125,7 +148,7 @@
 
 
 def record_responses(slow_start: SlowStart, tracked: TrackedEndpoint, begin_s: int, duration_s: int) -> None:
-    """Record a response of an endpoint at each step."""
+    """Record one response of a warm endpoint at each step of a period; times are in seconds."""
     for now_us in range(begin_s * US_PER_S, (begin_s + duration_s) * US_PER_S, STEP_US):
         slow_start.record_response(tracked, 0, COST_US, now_us)
 
@@ -156,7 +179,7 @@
 def test_relative_demand_of_a_machine_type_has_a_mean_of_one_per_slice(
     gateway_count: int, weights_are_capacities: bool, cross_zone_cost: float, warm_zones: set[str]
 ) -> None:
-    """Wherever the warm endpoints of the machine type are."""
+    """This holds whichever zones the warm endpoints of the machine type are in."""
     shapes = [
         EndpointShape("a", "x", 0.5),
         EndpointShape("a", "y", 4.0),
@@ -177,15 +200,15 @@
     subset = choose_subset(tracked_endpoints, settings)
     slow_start.update(capacity_fractions, subset, 0)
     for machine_type in "xy":
-        alike = [tracked for tracked in tracked_endpoints if tracked.endpoint.machine_type == machine_type]
-        capacity = sum(tracked.endpoint.weight if weights_are_capacities else 1.0 for tracked in alike)
-        demand = sum(map(slow_start.relative_demand, alike))
+        of_type = [tracked for tracked in tracked_endpoints if tracked.endpoint.machine_type == machine_type]
+        capacity = sum(tracked.endpoint.weight if weights_are_capacities else 1.0 for tracked in of_type)
+        demand = sum(map(slow_start.relative_demand, of_type))
         assert demand / capacity == pytest.approx(subset.slice_count)
 
 
 @pytest.mark.parametrize("cross_zone_cost", [0.0, CROSS_ZONE_COST])
 def test_relative_demand_of_an_endpoint_has_a_mean_of_one_over_all_gateways(cross_zone_cost: float) -> None:
-    """Where the zones are alike; also while one of them is warming up."""
+    """This holds if all zones have the same endpoints, also while one of the zones is warming up."""
     tracked_endpoints = track(FOUR_ZONES)
     capacity_fractions = {
         tracked: 0.15 if tracked.endpoint.zone == "a" else 1.0 for tracked in tracked_endpoints
--- a/tests/unit/policy/test_slow_start_fleet.py
+++ b/tests/unit/policy/test_slow_start_fleet.py
@@ -1,4 +1,4 @@
-"""What all gateways together send to endpoints that are warming up: never more than those withstand."""
+"""All gateways of a simulated fleet together must not overload endpoints that are warming up."""
 
 from __future__ import annotations
 
@@ -28,10 +28,11 @@
 
 
 @pytest.mark.parametrize("earn_credit", [False, True])
-def test_traffic_of_a_replaced_zone_elsewhere_does_not_inflate_warm_up_buckets(earn_credit: bool) -> None:
-    """The largest zone restarts, and its gateways go to zones that get one in a hundred of their requests.
+def test_cross_zone_traffic_of_a_replaced_zone_does_not_inflate_warm_up_buckets(earn_credit: bool) -> None:
+    """The throughput estimate must not be scaled by the fraction of work that a gateway sends to a zone.
 
-    Divided by that part, the work of the warm endpoints there made an estimate that was far too high.
+    The largest zone restarts, and its gateways send their requests to zones that usually get one in a hundred
+    of them. Dividing the work of the warm endpoints there by that fraction made the estimate far too high.
     """
     shapes = [EndpointShape("a", "x", 1.0)] * 24
     shapes += [EndpointShape(zone, "x", 1.0) for zone in "bcd" for _ in range(4)]
@@ -46,7 +47,7 @@
             cross_zone_cost=CROSS_ZONE_COST,
         ),
         capacity_per_s=50.0,
-        traffic_shares=busy_first_zone(100, 4, 24 / 9),  # by the capacity of the zones
+        traffic_shares=busy_first_zone(100, 4, 24 / 9),  # in proportion to the capacity of the zones
         max_list_delay_us=US_PER_S // 2,
         responses_earn_credit=earn_credit,
     )
@@ -60,7 +61,10 @@
 def test_all_gateways_together_do_not_overload_endpoints_warming_up(
     gateway_count: int, earn_credit: bool
 ) -> None:
-    """Traffic is uneven, lists and connections are late; the new endpoints are used nevertheless."""
+    """Gateways get unequal traffic, and endpoint lists and connections arrive late.
+
+    The new endpoints must get requests nevertheless.
+    """
     plan = FleetPlan(
         gateway_count,
         ALIKE,
@@ -76,8 +80,12 @@
 
 
 @pytest.mark.parametrize("gateway_count", GATEWAY_COUNTS)
-def test_endpoints_warming_up_get_a_fifth_of_what_they_can_do(gateway_count: int) -> None:
-    """The warm ones are used at three fifths; one request each overload window would be one in twenty."""
+def test_endpoints_warming_up_are_used_at_a_fifth_of_their_capacity(gateway_count: int) -> None:
+    """Slow start must not send far too little: at least a fifth of the capacity is used.
+
+    Warm endpoints are used at three fifths of their capacity. The minimum of one request per overload window
+    would use only a twentieth.
+    """
     plan = FleetPlan(gateway_count, ALIKE, slow_start_settings(), capacity_per_s=60.0)
     fleet, new = replace_under_traffic(plan, lambda endpoint: endpoint.id % 5 == 0)
     assert_endpoints_withstand(fleet)
@@ -86,7 +94,7 @@
 
 @pytest.mark.parametrize("gateway_count", GATEWAY_COUNTS)
 def test_gateway_restarts_do_not_overload_endpoints_warming_up(gateway_count: int) -> None:
-    """Each second one gateway in four restarts, some with a cached list from before the change."""
+    """Each second one gateway in four restarts, some with a cached list from before the replacement."""
     plan = FleetPlan(
         gateway_count,
         ALIKE,
@@ -108,7 +116,10 @@
 def test_clients_of_lost_gateways_do_not_overload_endpoints_warming_up(
     gateway_count: int, earn_credit: bool
 ) -> None:
-    """Three gateways in ten get all of the traffic; the settings count them all."""
+    """Three gateways in ten get all of the traffic, because the others have failed.
+
+    The settings of the remaining gateways still count all of them.
+    """
     shares = tuple(1.0 if index % 10 < 3 else 1e-6 for index in range(gateway_count))
     plan = FleetPlan(
         gateway_count,
@@ -125,7 +136,7 @@
 
 @pytest.mark.parametrize("gateway_count", GATEWAY_COUNTS)
 def test_endpoints_restarted_under_their_ids_are_not_overloaded(gateway_count: int) -> None:
-    """Some restart twice, before all gateways are notified of the first time."""
+    """Some endpoints restart twice, before all gateways are notified of the first restart."""
     plan = FleetPlan(
         gateway_count,
         ALIKE,
@@ -147,7 +158,7 @@
 def test_small_endpoints_of_a_machine_type_are_not_overloaded(
     gateway_count: int, weights_are_capacities: bool
 ) -> None:
-    """Also where gateways cannot know the capacities."""
+    """Endpoints of one machine type may differ in capacity, whether or not the weights tell the gateways."""
     weights = [0.5, 1.0, 2.0, 4.0] if weights_are_capacities else [0.5, 1.0, 1.0, 1.5]
     plan = FleetPlan(
         gateway_count,
@@ -164,7 +175,11 @@
 @pytest.mark.parametrize("at_once", [False, True])
 @pytest.mark.parametrize("gateway_count", GATEWAY_COUNTS)
 def test_machine_type_without_a_warm_endpoint_is_not_overloaded(gateway_count: int, at_once: bool) -> None:
-    """If its endpoints are replaced one by one, the last warm ones serve a few gateways only."""
+    """The endpoints of one machine type are replaced at once or one by one.
+
+    If they are replaced one by one, the last warm ones serve only a few gateways, and the throughput that
+    those gateways observe is far from the mean.
+    """
     endpoints = shaped_endpoints([EndpointShape("a", machine_type, 1.0) for machine_type in "xxxy" * 5])
     plan = FleetPlan(
         gateway_count,
@@ -190,8 +205,11 @@
 
 @pytest.mark.parametrize("gap_s", [0, 4])
 @pytest.mark.parametrize("gateway_count", GATEWAY_COUNTS)
-def test_zone_that_returns_warming_up_is_not_overloaded(gateway_count: int, gap_s: int) -> None:
-    """It is replaced at once, or missing for some seconds in which its requests go to other zones."""
+def test_zone_that_returns_with_new_endpoints_is_not_overloaded(gateway_count: int, gap_s: int) -> None:
+    """The endpoints of a zone are replaced at once, or are missing for some seconds before they return.
+
+    While they are missing, the requests of the zone go to other zones.
+    """
     endpoints = shaped_endpoints([EndpointShape(zone, "x", 1.0) for zone in "abcd"] * 5)
     plan = FleetPlan(
         gateway_count,
@@ -219,7 +237,7 @@
 
 @pytest.mark.parametrize("gateway_count", GATEWAY_COUNTS)
 def test_few_heavy_requests_do_not_overload_endpoints_warming_up(gateway_count: int) -> None:
-    """The budget of an overload window is 2.7 requests at the start."""
+    """The overload budget of an endpoint that has just started is 2.7 requests per overload window."""
     plan = FleetPlan(
         gateway_count,
         ALIKE,
@@ -240,7 +258,10 @@
 def test_many_light_requests_do_not_overload_endpoints_warming_up(
     gateway_count: int, earn_credit: bool
 ) -> None:
-    """The budget of an overload window is 180 requests at the start: little is put down to chance."""
+    """The overload budget of an endpoint that has just started is 180 requests per overload window.
+
+    With so many requests, the margin for random variation is a small part of the budget.
+    """
     plan = FleetPlan(
         gateway_count,
         shaped_endpoints([EndpointShape("a", "x", 1.0)] * 6),
@@ -262,7 +283,7 @@
 def test_zone_with_more_traffic_than_capacity_is_not_overloaded(
     traffic_factor: float, overload_factor: float, initial_capacity: float, earn_credit: bool
 ) -> None:
-    """It is replaced, and its gateways use most of what the other zones can do."""
+    """The busiest zone is replaced, and its gateways use most of the capacity of the other zones."""
     plan = FleetPlan(
         60,
         FOUR_ZONES,
@@ -285,7 +306,7 @@
 
 @st.composite
 def fleet_plans(draw: st.DrawFn) -> tuple[FleetPlan, float]:
-    """Draw a plan, and the fraction of its endpoints that is replaced."""
+    """Draw a fleet plan, and the fraction of its endpoints that is replaced."""
     zone_count, machine_type_count = draw(st.integers(1, 4)), draw(st.integers(1, 3))
     endpoint_count = draw(st.integers(max(4, zone_count), 24))
     weights_are_capacities = draw(st.booleans())
--- a/tests/unit/policy/test_token_bucket.py
+++ b/tests/unit/policy/test_token_bucket.py
@@ -1,4 +1,4 @@
-"""The arithmetic of a warm-up bucket."""
+"""Refill, credit and decay of the token bucket for endpoints that are warming up."""
 
 from __future__ import annotations
 
@@ -19,35 +19,35 @@
     assert bucket.tokens == 50
 
 
-def test_refill_at_a_smaller_capacity_drops_what_is_beyond_it() -> None:
-    bucket = WarmUpBucket(refilled_at_us=0, refilled=50.0)
+def test_refill_at_a_smaller_capacity_drops_excess_tokens() -> None:
+    bucket = WarmUpBucket(refilled_at_us=0, refill_tokens=50.0)
     bucket.refill(rate=0.0, capacity=10.0, now_us=0)
     assert bucket.tokens == 10
 
 
-def test_credit_comes_on_top_of_a_full_bucket_and_decays() -> None:
-    bucket = WarmUpBucket(refilled_at_us=0, refilled=50.0, decayed_at_us=100)
+def test_credit_exceeds_the_capacity_of_the_bucket_and_decays() -> None:
+    bucket = WarmUpBucket(refilled_at_us=0, refill_tokens=50.0, decayed_at_us=100)
     bucket.add_credit(30.0)
     assert bucket.tokens == 80
     bucket.decay(time_constant_us=200.0, now_us=300)
     assert bucket.tokens == pytest.approx(50 + 30 / e)
 
 
-def test_cost_is_taken_out_of_the_credit_first() -> None:
-    bucket = WarmUpBucket(refilled_at_us=0, refilled=50.0, credit=30.0)
+def test_cost_is_taken_from_credit_first() -> None:
+    bucket = WarmUpBucket(refilled_at_us=0, refill_tokens=50.0, credit_tokens=30.0)
     bucket.take(20.0)
-    assert (bucket.refilled, bucket.credit) == (50.0, 10.0)
+    assert (bucket.refill_tokens, bucket.credit_tokens) == (50.0, 10.0)
     bucket.take(20.0)
-    assert (bucket.refilled, bucket.credit) == (40.0, 0.0)
+    assert (bucket.refill_tokens, bucket.credit_tokens) == (40.0, 0.0)
 
 
 def test_cost_beyond_the_tokens_empties_the_bucket() -> None:
-    bucket = WarmUpBucket(refilled_at_us=0, refilled=5.0, credit=5.0)
+    bucket = WarmUpBucket(refilled_at_us=0, refill_tokens=5.0, credit_tokens=5.0)
     bucket.take(100.0)
     assert bucket.tokens == 0
 
 
 def test_emptied_bucket_has_no_tokens() -> None:
-    bucket = WarmUpBucket(refilled_at_us=0, refilled=5.0, credit=5.0)
+    bucket = WarmUpBucket(refilled_at_us=0, refill_tokens=5.0, credit_tokens=5.0)
     bucket.empty()
     assert bucket.tokens == 0
