--- a/http_gateway/policy/balancer.py
+++ b/http_gateway/policy/balancer.py
@@ -91,7 +91,7 @@
 
     def _on_request(self, request: RequestArrived, now_us: int) -> list[Action]:
         request_class = self._class_of(request)
-        self._endpoints.follow_warm_up(now_us)
+        self._endpoints.update_weights_if_due(now_us)
         pending = PendingRequest(request, request_class, now_us, now_us + request.timeout_us)
         self._pending[request.request_id] = pending
         self._retries.on_request()
--- a/http_gateway/policy/endpoint_set.py
+++ b/http_gateway/policy/endpoint_set.py
@@ -89,7 +89,7 @@
             self._apply_entry(endpoint, now_us)
         self._update_weights(now_us)
 
-    def follow_warm_up(self, now_us: int) -> None:
+    def update_weights_if_due(self, now_us: int) -> None:
         """Recompute the weights if an endpoint is warming up and the update interval has passed."""
         if (
             self._weights_updated_at_us is not None
