--- a/http_gateway/policy/balancer.py
+++ b/http_gateway/policy/balancer.py
@@ -182,7 +182,7 @@
         if pending is None or attempt is None:
             return []
         attempt.end(event.outcome)
-        tracked = self._endpoints.of_attempt(attempt)
+        tracked = self._endpoints.get_for_attempt(attempt)
         if tracked is not None:
             tracked.concurrency.end_attempt()
             self._learn(tracked, pending, attempt, now_us)
@@ -195,7 +195,7 @@
         pending, attempt = self._find(event.request_id, event.attempt_number)
         if pending is None or attempt is None:
             return []
-        tracked = self._endpoints.of_attempt(attempt)
+        tracked = self._endpoints.get_for_attempt(attempt)
         if tracked is not None:
             tracked.record_response(pending.request_class, attempt, now_us)
         attempt.mark_streaming()
@@ -212,7 +212,7 @@
         pending, attempt = self._find(request_id, attempt_number)
         if pending is None or attempt is None or attempt.outcome is not None or attempt.is_judged:
             return []
-        tracked = self._endpoints.of_attempt(attempt)
+        tracked = self._endpoints.get_for_attempt(attempt)
         if tracked is None or not self._outliers.record_if_slow(tracked, pending, attempt, now_us):
             return []
         return [] if pending.is_answered else self._attempt(pending, now_us)
--- a/http_gateway/policy/endpoint_set.py
+++ b/http_gateway/policy/endpoint_set.py
@@ -57,7 +57,7 @@
         tracked = self._endpoints.get(endpoint_id)
         return None if tracked is None else tracked.endpoint
 
-    def of_attempt(self, attempt: Attempt) -> TrackedEndpoint | None:
+    def get_for_attempt(self, attempt: Attempt) -> TrackedEndpoint | None:
         """Return the endpoint of an attempt.
 
         Args:
