--- a/http_gateway/policy/endpoint_selection.py
+++ b/http_gateway/policy/endpoint_selection.py
@@ -86,6 +86,6 @@
     def _admits(self, tracked: TrackedEndpoint, pending: PendingRequest, cost_us: float, now_us: int) -> bool:
         if not tracked.admits(pending.request_class, now_us):
             return False
-        if pending.attempts and not may_retry_on(tracked.endpoint, pending, self._endpoints.listed):
+        if pending.attempts and not may_retry_on(tracked.endpoint, pending, self._endpoints.get_description):
             return False
         return self._slow_start.admits(tracked, cost_us, now_us)
--- a/http_gateway/policy/endpoint_set.py
+++ b/http_gateway/policy/endpoint_set.py
@@ -52,7 +52,7 @@
         """Return the state of a ready endpoint, or None if there is no such endpoint."""
         return self._endpoints.get(endpoint_id)
 
-    def listed(self, endpoint_id: EndpointId) -> Endpoint | None:
+    def get_description(self, endpoint_id: EndpointId) -> Endpoint | None:
         """Return a ready endpoint as it is listed now, or None if there is no such endpoint."""
         tracked = self._endpoints.get(endpoint_id)
         return None if tracked is None else tracked.endpoint
