--- a/http_gateway/policy/slow_start.py
+++ b/http_gateway/policy/slow_start.py
@@ -66,7 +66,7 @@
     def __init__(self, settings: Settings, random: Random) -> None:
         self._settings = settings
         self._random = random
-        # By machine type, for the types in the endpoint list.
+        # Keyed by machine type; only machine types in the endpoint list have an entry.
         self._throughputs: dict[str, MachineTypeThroughput] = {}
         self._subset_members: frozenset[TrackedEndpoint] = frozenset()
         self._relative_demand: dict[TrackedEndpoint, float] = {}
--- a/http_gateway/policy/subsetting.py
+++ b/http_gateway/policy/subsetting.py
@@ -14,7 +14,7 @@
 # Each endpoint serves at least this many gateways, if there are as many. With fewer than twice this number of
 # gateways, every gateway uses every endpoint.
 GATEWAYS_PER_ENDPOINT = 20
-MIN_SUBSET_SIZE = 4  # endpoints
+MIN_SUBSET_SIZE = 4  # least number of endpoints that a gateway uses, if there are as many
 
 _DIGEST_BYTES = 8
 _DIGEST_RANGE = 2 ** (8 * _DIGEST_BYTES)
@@ -26,7 +26,7 @@
 
     members: list[TrackedEndpoint]  # the gateway's subset; endpoint selection shuffles this list in place
     fallbacks: list[TrackedEndpoint]  # all other endpoints, in the order in which they are tried
-    slice_count: int  # number of slices that the endpoints are cut into; one gateway in so many uses each one
+    slice_count: int  # all endpoints are cut into this many slices, one of which is the subset
 
 
 def choose_subset(endpoints: Collection[TrackedEndpoint], settings: Settings) -> Subset:
--- a/http_gateway/policy/throughput_estimate.py
+++ b/http_gateway/policy/throughput_estimate.py
@@ -73,7 +73,7 @@
     def rate(self, now_us: int) -> float:
         """Return the work per microsecond and unit of capacity.
 
-        While no endpoint is warm, the result is the long-term average of the time when the last one was. That
+        While no endpoint is warm, the result is the long-term average at the time when the last one was. That
         average started at zero, so it is scaled up if the machine type was observed only for a short time.
         """
         if self._warm_capacity > 0:
--- a/http_gateway/policy/token_bucket.py
+++ b/http_gateway/policy/token_bucket.py
@@ -15,8 +15,8 @@
     """
 
     refilled_at_us: int
-    refill_tokens: float = 0.0  # as of `refilled_at_us`
-    credit_tokens: float = 0.0  # as of `decayed_at_us`
+    refill_tokens: float = 0.0  # tokens from the refill rate, at the time `refilled_at_us`
+    credit_tokens: float = 0.0  # tokens from responses, at the time `decayed_at_us`
     decayed_at_us: int = 0
 
     @property
--- a/http_gateway/policy/tracked_endpoint.py
+++ b/http_gateway/policy/tracked_endpoint.py
@@ -27,7 +27,7 @@
     load: LoadScore
     warm_up_bucket: WarmUpBucket
     concurrency: ConcurrencyLimit = field(default_factory=ConcurrencyLimit)
-    class_breakers: dict[str, RequestClassBreaker] = field(default_factory=dict)  # by request class name
+    class_breakers: dict[str, RequestClassBreaker] = field(default_factory=dict)  # keyed by class name
 
     @classmethod
     def create(
--- a/tests/unit/policy/test_slow_start.py
+++ b/tests/unit/policy/test_slow_start.py
@@ -63,7 +63,7 @@
     ]
     driver.notify_endpoints((*warming_up, Endpoint(5, machine_type="x")))
     outcomes = [Outcome.OK, Outcome.REJECTED, Outcome.ERROR, Outcome.CONNECT_FAILED, Outcome.TIMEOUT]
-    is_reserved: dict[bool, set[bool]] = {True: set(), False: set()}  # by whether the endpoint is warming up
+    is_reserved: dict[bool, set[bool]] = {True: set(), False: set()}  # key: endpoint is warming up
     attempt_count = 0
     for number in range(6000):
         request_id = driver.send_request(cost_us=COST_US)
