--- a/http_gateway/policy/balancer.py
+++ b/http_gateway/policy/balancer.py
@@ -106,7 +106,7 @@
 
     def _on_request(self, request: RequestArrived, now_us: int) -> list[Action]:
         request_class = self._find_class(request)
-        self._endpoints.follow_warm_up(now_us)
+        self._endpoints.update_weights_if_due(now_us)
         pending = PendingRequest(request, request_class, now_us, now_us + request.timeout_us)
         self._pending[request.request_id] = pending
         self._retries.on_request()
@@ -205,7 +205,7 @@
         if pending is None or attempt is None:
             return []
         attempt.end(event.outcome)
-        tracked = self._endpoints.of_attempt(attempt)
+        tracked = self._endpoints.get_for_attempt(attempt)
         if tracked is not None:
             tracked.concurrency.end_attempt()
             self._record_result(tracked, pending, attempt, now_us)
@@ -221,7 +221,7 @@
         pending, attempt = self._find_attempt(event.request_id, event.attempt_number)
         if pending is None or attempt is None:
             return []
-        tracked = self._endpoints.of_attempt(attempt)
+        tracked = self._endpoints.get_for_attempt(attempt)
         if tracked is not None:
             tracked.record_response(pending.request_class, attempt, now_us)
         attempt.mark_streaming()
@@ -241,7 +241,7 @@
         pending, attempt = self._find_attempt(request_id, attempt_number)
         if pending is None or attempt is None or attempt.outcome is not None or attempt.is_result_recorded:
             return []
-        tracked = self._endpoints.of_attempt(attempt)
+        tracked = self._endpoints.get_for_attempt(attempt)
         if tracked is None or not self._outliers.record_if_slow(tracked, pending, attempt, now_us):
             return []
         return [] if pending.is_answered else self._start_attempt_if_allowed(pending, now_us)
