--- a/http_gateway/net/http/__init__.py
+++ b/http_gateway/net/http/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 messages, read from and written to bytes, and the receive buffer of all connections."""
+"""HTTP/1.1 message parsing and serialization, and the receive buffer that all connections share."""
--- a/http_gateway/net/http/messages.py
+++ b/http_gateway/net/http/messages.py
@@ -1,15 +1,20 @@
-"""HTTP/1.1 messages as the gateway uses them."""
+"""Representation of HTTP/1.1 requests and responses."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 from http import HTTPStatus
 
-Headers = list[tuple[bytes, bytes]]  # name in lower case, value
+Headers = list[tuple[bytes, bytes]]  # pairs of a lower-case name and a value
 
 
 class MalformedMessageError(Exception):
-    """A message that cannot be used; `status` is that of the response to a client that sent it."""
+    """A message that is malformed or exceeds a limit.
+
+    Args:
+        status: The status of the response to a client that has sent the message.
+        reason: A description of the fault for people.
+    """
 
     def __init__(self, status: HTTPStatus, reason: str) -> None:
         super().__init__(reason)
@@ -18,10 +23,15 @@
 
 @dataclass(slots=True)
 class Message:
-    """A complete request or response.
-
-    A request has `method` and `target`, a response `status`. `keep_alive` is whether its connection may be
-    used for another message.
+    """An HTTP request or response.
+
+    Attributes:
+        method: The method of a request; empty in a response.
+        target: The request target; empty in a response.
+        status: The status code of a response; 0 in a request.
+        headers: The headers in the order in which they were received.
+        body: The complete body, without its transfer encoding.
+        keep_alive: Whether the connection may be used for another message.
     """
 
     method: bytes = b""
@@ -32,8 +42,12 @@
     keep_alive: bool = True
 
     def header(self, name: bytes) -> str | None:
-        """The value of the first header with this lower-case name; None if there is none."""
-        for other, value in self.headers:
-            if other == name:
+        """Return the value of the first header with this name; None if there is none.
+
+        Args:
+            name: The header name in lower case.
+        """
+        for header_name, value in self.headers:
+            if header_name == name:
                 return value.decode("latin-1").strip()
         return None
--- a/http_gateway/net/http/shared_buffer.py
+++ b/http_gateway/net/http/shared_buffer.py
@@ -1,19 +1,20 @@
-"""An asyncio protocol that receives into one buffer for all connections."""
+"""Asyncio protocol whose connections all receive into one shared buffer."""
 
 from __future__ import annotations
 
 import asyncio
 
-# Each read is handled before the next one, so one buffer is enough; asyncio would allocate 256 KiB a read.
+# Each read is handled before the next one, so all connections can share one buffer. Without it, asyncio would
+# allocate 256 KiB for each read.
 _BUFFER_BYTES = 64 * 1024
 _BUFFER = memoryview(bytearray(_BUFFER_BYTES))
 
 
 class SharedBufferProtocol(asyncio.BufferedProtocol):
-    """A protocol whose received bytes are valid only during the call of `on_data`."""
+    """Protocol base class whose received bytes are valid only during the call of `on_data`."""
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        """Return the buffer for the next read."""
+        """Return the shared buffer for the next read."""
         return _BUFFER
 
     def buffer_updated(self, nbytes: int) -> None:
@@ -21,5 +22,5 @@
         self.on_data(_BUFFER[:nbytes])
 
     def on_data(self, data: memoryview) -> None:
-        """Handle received bytes, which have to be copied to be kept."""
+        """Handle received bytes; they must be copied to be kept, because the next read overwrites them."""
         raise NotImplementedError
--- a/http_gateway/net/http/writer.py
+++ b/http_gateway/net/http/writer.py
@@ -1,4 +1,4 @@
-"""Writes HTTP/1.1 messages, without the hop-by-hop headers."""
+"""Serializes HTTP/1.1 messages without their hop-by-hop headers."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 
 from http_gateway.net.http.messages import Headers, Message
 
-# Hop-by-hop headers (RFC 9110, 7.6.1), and those that the gateway sets itself.
-_NOT_FORWARDED = frozenset(
+# Hop-by-hop headers (RFC 9110, section 7.6.1) and headers that the gateway sets itself.
+_NOT_FORWARDED_HEADERS = frozenset(
     (
         b"connection",
         b"keep-alive",
@@ -21,12 +21,20 @@
         b"x-deadline",
     )
 )
-# Even if a client names them in `Connection`.
-_ALWAYS_FORWARDED = frozenset((b"x-request-id", b"idempotency-key"))
+# Headers that are forwarded even if a client lists them in its Connection header.
+_ALWAYS_FORWARDED_HEADERS = frozenset((b"x-request-id", b"idempotency-key"))
 
 
 def write_request(message: Message, extra_headers: Headers) -> bytes:
-    """Return a client's request as it is forwarded to an endpoint."""
+    """Serialize a client's request for an endpoint.
+
+    Args:
+        message: The client's request.
+        extra_headers: Headers that the gateway adds.
+
+    Returns:
+        The bytes of the request.
+    """
     headers = _forwarded_headers(message.headers) + extra_headers
     if message.body or message.method != b"GET":
         headers.append((b"content-length", b"%d" % len(message.body)))
@@ -34,7 +42,17 @@
 
 
 def write_response(status: int, headers: Headers, body: bytes, close: bool) -> bytes:
-    """Return a response to a client; `close` announces that the connection is closed after it."""
+    """Serialize a response to a client.
+
+    Args:
+        status: The status code.
+        headers: The headers, from which hop-by-hop headers are removed.
+        body: The body.
+        close: Whether the response announces that the gateway closes the connection after it.
+
+    Returns:
+        The bytes of the response.
+    """
     framing = [(b"content-length", b"%d" % len(body))]
     if close:
         framing.append((b"connection", b"close"))
@@ -46,11 +64,13 @@
 
 
 def _forwarded_headers(headers: Headers) -> Headers:
-    forwarded = [header for header in headers if header[0] not in _NOT_FORWARDED]
+    forwarded = [header for header in headers if header[0] not in _NOT_FORWARDED_HEADERS]
     for name, value in headers:
         if name == b"connection":
-            named = {other.strip().lower() for other in value.split(b",")} - _ALWAYS_FORWARDED
-            forwarded = [header for header in forwarded if header[0] not in named]
+            connection_options = {
+                option.strip().lower() for option in value.split(b",")
+            } - _ALWAYS_FORWARDED_HEADERS
+            forwarded = [header for header in forwarded if header[0] not in connection_options]
     return forwarded
 
 
