--- a/http_gateway/net/frontend/__init__.py
+++ b/http_gateway/net/frontend/__init__.py
@@ -1,1 +1,1 @@
-"""Client connections: requests in, one response each."""
+"""Client side of the gateway: accepts connections, reads requests and writes one response to each."""
--- a/http_gateway/net/frontend/client_transport.py
+++ b/http_gateway/net/frontend/client_transport.py
@@ -1,4 +1,4 @@
-"""One client's transport, and what its socket shows before the event loop has read it."""
+"""Transport of a client connection, which can also poll the socket for events that asyncio has not read."""
 
 from __future__ import annotations
 
@@ -6,12 +6,17 @@
 import select
 import socket
 
-# Where POLLRDHUP is missing, only a connection that is closed in both directions shows as disconnected.
-_DISCONNECTED = getattr(select, "POLLRDHUP", select.POLLHUP)
+# POLLRDHUP reports that the peer has closed its sending side. On systems without it, POLLHUP reports only
+# connections that are closed in both directions.
+_DISCONNECT_EVENT = getattr(select, "POLLRDHUP", select.POLLHUP)
 
 
 class ClientTransport:
-    """Writes to a client and polls its socket."""
+    """Writes to a client and polls the client's socket.
+
+    Args:
+        stream: The asyncio transport of the connection.
+    """
 
     __slots__ = ("stream",)
 
@@ -25,33 +30,33 @@
 
     @property
     def has_unread_bytes(self) -> bool:
-        """Whether something was received that has not been read yet: a close would lose it."""
+        """Whether the socket holds bytes that asyncio has not read yet and that a close would lose."""
         return self._poll(select.POLLIN)
 
     @property
     def has_disconnected(self) -> bool:
-        """Whether the client has ended the connection, even if unread bytes come first."""
-        return self._poll(_DISCONNECTED)
+        """Whether the client has closed its side of the connection, even if bytes are still unread."""
+        return self._poll(_DISCONNECT_EVENT)
 
     @property
     def unsent_bytes(self) -> int:
-        """Written bytes that the system has not taken yet."""
+        """Number of written bytes that the operating system has not accepted for sending yet."""
         return self.stream.get_write_buffer_size()
 
     def write(self, data: bytes) -> None:
-        """Send bytes."""
+        """Send bytes, which are buffered until the operating system accepts them."""
         self.stream.write(data)
 
     def write_eof(self) -> None:
-        """End the sending direction once all is sent."""
+        """Close the sending side of the connection after all written bytes are sent."""
         self.stream.write_eof()
 
     def close(self) -> None:
-        """Close once all is sent."""
+        """Close the connection after all written bytes are sent."""
         self.stream.close()
 
     def abort(self) -> None:
-        """Close at once."""
+        """Close the connection at once and discard unsent bytes."""
         self.stream.abort()
 
     def _poll(self, events: int) -> bool:
@@ -60,7 +65,9 @@
         return _has_event(self.stream.get_extra_info("socket"), events)
 
 
-def _has_event(polled: socket.socket, events: int) -> bool:
+def _has_event(sock: socket.socket, events: int) -> bool:
     poll = select.poll()
-    poll.register(polled, events)
-    return any(found & (events | select.POLLERR | select.POLLHUP) for _, found in poll.poll(0))
+    poll.register(sock, events)
+    return any(
+        reported_events & (events | select.POLLERR | select.POLLHUP) for _, reported_events in poll.poll(0)
+    )
--- a/http_gateway/net/frontend/request_parsing.py
+++ b/http_gateway/net/frontend/request_parsing.py
@@ -1,4 +1,4 @@
-"""Turns an HTTP message of a client into a request for the dispatcher."""
+"""Parses a client's HTTP message into a request for the dispatcher."""
 
 from __future__ import annotations
 
@@ -20,14 +20,16 @@
 
 
 class InvalidRequestError(MalformedMessageError):
-    """A well-formed message that is no valid request; `status` is that of its response."""
+    """A well-formed message that is not a valid request; `status` is the status of the error response."""
 
 
 class RequestParser:
-    """Reads requests of the classes in the settings.
+    """Parses requests of the configured request classes.
 
-    `time_left_s` returns the time within which every request has to be answered; infinity if there is no
-    such limit.
+    Args:
+        classes: The request classes in the settings.
+        time_left_s: Returns the time, in seconds, within which every request must be answered; infinity if
+            there is no such limit.
     """
 
     def __init__(self, classes: Iterable[RequestClass], time_left_s: Callable[[], float]) -> None:
@@ -35,73 +37,95 @@
         self._time_left_s = time_left_s
 
     def parse(self, message: Message) -> ClientRequest:
-        """Return the request in a message; raises `InvalidRequestError`."""
+        """Parse a message.
+
+        Args:
+            message: A complete HTTP request.
+
+        Returns:
+            The request for the dispatcher.
+
+        Raises:
+            InvalidRequestError: The request class, the method or a header is invalid.
+        """
         headers = _single_value_headers(message)
         if not 0 < len(headers.get(b"x-request-id", b"")) <= MAX_REQUEST_ID_LENGTH:
-            raise InvalidRequestError(HTTPStatus.BAD_REQUEST, "the request id is missing or too long")
+            raise InvalidRequestError(
+                HTTPStatus.BAD_REQUEST, "the X-Request-Id header is missing or too long"
+            )
         request_class = self._request_class(message, headers)
         return ClientRequest(
             message,
             request_class.name,
             self._timeout_us(headers.get(b"x-deadline"), request_class),
-            _cost_us(headers.get(b"x-cost-hint", b""), request_class),
-            _text(headers.get(b"x-key")),
+            _parse_cost_us(headers.get(b"x-cost-hint", b""), request_class),
+            _decode_latin1(headers.get(b"x-key")),
             message.header(b"x-retry") == "1",
-            _text(headers.get(b"x-tenant")) or "",
+            _decode_latin1(headers.get(b"x-tenant")) or "",
         )
 
     def _request_class(self, message: Message, headers: Mapping[bytes, bytes]) -> RequestClass:
         path = message.target.split(b"?", 1)[0]
         name = path.strip(b"/").split(b"/", 1)[0]
-        request_class = self._classes.get(_text(name) or "")
+        request_class = self._classes.get(_decode_latin1(name) or "")
         if request_class is None or headers.get(b"x-class", name) != name:
-            raise InvalidRequestError(HTTPStatus.BAD_REQUEST, "the request class is unknown")
+            raise InvalidRequestError(
+                HTTPStatus.BAD_REQUEST, "the request class is unknown or does not match X-Class"
+            )
         method = b"GET" if request_class.idempotency is Idempotency.IDEMPOTENT else b"POST"
         if message.method != method:
-            raise InvalidRequestError(HTTPStatus.METHOD_NOT_ALLOWED, "the class has another method")
+            raise InvalidRequestError(
+                HTTPStatus.METHOD_NOT_ALLOWED, "the method does not match the request class"
+            )
         return request_class
 
     def _timeout_us(self, deadline: bytes | None, request_class: RequestClass) -> int:
-        """The client's deadline, limited by the timeout of the class and the gateway's shutdown."""
+        """Return the client's deadline, limited by the timeout of the class and by the gateway's shutdown."""
         limit_us = request_class.timeout_us
         time_left_s = self._time_left_s()
         if time_left_s < math.inf:
             limit_us = min(limit_us, max(1, round(time_left_s * US_PER_S)))
         if deadline is None:
             return limit_us
-        return min(round(_deadline_s(deadline) * US_PER_S), limit_us)
+        return min(round(_parse_deadline_s(deadline) * US_PER_S), limit_us)
 
 
 def _single_value_headers(message: Message) -> dict[bytes, bytes]:
-    """The headers that are acted on; of one that is repeated, an endpoint might use the other value."""
+    """Return the headers that the gateway interprets.
+
+    A repeated header is rejected, because an endpoint might use another of its values than the gateway.
+    """
     headers: dict[bytes, bytes] = {}
     for name, value in message.headers:
         if name in _SINGLE_VALUE_HEADERS:
             if name in headers:
-                raise InvalidRequestError(HTTPStatus.BAD_REQUEST, "a header is repeated")
+                raise InvalidRequestError(HTTPStatus.BAD_REQUEST, "a single-value header is repeated")
             headers[name] = value.strip()
     return headers
 
 
-def _deadline_s(text: bytes) -> float:
+def _parse_deadline_s(value: bytes) -> float:
     try:
-        deadline_s = float(text)
+        deadline_s = float(value)
     except ValueError:
         deadline_s = math.nan
     if not math.isfinite(deadline_s) or deadline_s <= 0:
-        raise InvalidRequestError(HTTPStatus.BAD_REQUEST, "the deadline is not a positive number")
+        raise InvalidRequestError(
+            HTTPStatus.BAD_REQUEST, "the X-Deadline header is not a positive, finite number"
+        )
     return deadline_s
 
 
-def _cost_us(hint: bytes, request_class: RequestClass) -> int:
-    """The cost hint, or 0 if it is not a number.
+def _parse_cost_us(hint: bytes, request_class: RequestClass) -> int:
+    """Return the cost hint in microseconds, or 0 if it is not a number or has too many digits.
 
-    More than the timeout of the class would outweigh all other requests.
+    The hint is limited to the timeout of the class, because a request with a larger cost would outweigh all
+    other requests.
     """
     if not hint.isdigit() or len(hint) > MAX_COST_HINT_DIGITS:
         return 0
     return min(int(hint), request_class.timeout_us)
 
 
-def _text(value: bytes | None) -> str | None:
+def _decode_latin1(value: bytes | None) -> str | None:
     return None if value is None else value.decode("latin-1")
--- a/http_gateway/net/frontend/shutdown_state.py
+++ b/http_gateway/net/frontend/shutdown_state.py
@@ -1,4 +1,4 @@
-"""Whether the gateway is shutting down, and by when every request has to be answered."""
+"""State of the gateway's shutdown: whether it has begun, and its deadline."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class ShutdownState:
-    """The deadline of the shutdown, once it has begun."""
+    """Records the deadline of the shutdown, which is infinity until the shutdown begins."""
 
     def __init__(self) -> None:
         self._loop = asyncio.get_running_loop()
@@ -20,13 +20,17 @@
 
     @property
     def deadline_at_s(self) -> float:
-        """The loop time by which every request has to be answered; infinity before the shutdown."""
+        """Event loop time, in seconds, by which requests must be answered; infinity before the shutdown."""
         return self._deadline_at_s
 
     def begin(self, deadline_at_s: float) -> None:
-        """Begin the shutdown, which ends at this loop time."""
+        """Begin the shutdown.
+
+        Args:
+            deadline_at_s: Event loop time, in seconds, by which every request must be answered.
+        """
         self._deadline_at_s = deadline_at_s
 
     def time_left_s(self) -> float:
-        """The time until the deadline; infinity before the shutdown."""
+        """Return the time until the deadline, in seconds; infinity before the shutdown."""
         return self._deadline_at_s - self._loop.time()
--- a/tests/integration/test_connection_limits.py
+++ b/tests/integration/test_connection_limits.py
@@ -1,4 +1,4 @@
-"""Limits on the number of client connections and on the bytes that they buffer."""
+"""Tests of the limits on the number of client connections and on the bytes that they buffer."""
 
 from __future__ import annotations
 
@@ -28,13 +28,13 @@
         running_gateway(endpoint.endpoint_entry()) as gateway,
     ):
         clients = [await gateway.connect() for _ in range(2)]
-        text = request_bytes("chapter-buy", {}, bytes(60_000))
+        request = request_bytes("chapter-buy", {}, bytes(60_000))
         for client in clients:
-            client.writer.write(text[:-1])
+            client.writer.write(request[:-1])
         await wait_until(lambda: sum(not other.is_reading for other in gateway.frontend.connections) == 1)
         assert gateway.frontend.buffered_bytes <= 100_000
         for client in clients:
-            client.writer.write(text[-1:])
+            client.writer.write(request[-1:])
         assert {(await client.response()).status for client in clients} == {200, 429}
         assert gateway.frontend.buffered_bytes == 0
 
@@ -45,11 +45,11 @@
         start_peers(never_respond) as (endpoint,),
         running_gateway(endpoint.endpoint_entry(), max_connections=2) as gateway,
     ):
-        busy: list[LoopbackClient] = []
-        for _ in range(2):  # each has a request in flight before the next connects: an idle one is evicted
-            busy.append(await gateway.connect())
-            busy[-1].writer.write(request_bytes())
-            await wait_until(lambda: len(endpoint.requests) == len(busy))
+        busy_clients: list[LoopbackClient] = []
+        for _ in range(2):  # a connection without a request in flight would be evicted by the next
+            busy_clients.append(await gateway.connect())
+            busy_clients[-1].writer.write(request_bytes())
+            await wait_until(lambda: len(endpoint.requests) == len(busy_clients))
         with contextlib.suppress(ConnectionError):
             assert await (await gateway.connect()).read_until_closed() == b""
         await wait_until(lambda: len(gateway.frontend.connections) == 2)
@@ -70,22 +70,25 @@
 
 @async_test
 async def test_idle_connections_are_evicted_before_the_limit() -> None:
-    """Clients behind one address may have fewer connections than the gateway's limit, and use them up."""
+    """Idle connections must not use up the connections that clients behind one address may have.
+
+    Address translation may limit such clients to fewer connections than the gateway accepts.
+    """
     max_idle = 4
     async with (
         start_peers(respond_with()) as (endpoint,),
         running_gateway(endpoint.endpoint_entry(), max_connections=2 * max_idle) as gateway,
     ):
         slow_client = await gateway.connect()
-        text = request_bytes()
-        slow_client.writer.write(text[:-1])
+        request = request_bytes()
+        slow_client.writer.write(request[:-1])
         await connection_with_partial_request(gateway)
         idle_clients = []
         for _ in range(3 * max_idle):
             idle_clients.append(await gateway.connect())
             assert (await idle_clients[-1].request()).status == 200
             assert len(gateway.frontend.connections) <= max_idle
-        slow_client.writer.write(text[-1:])
+        slow_client.writer.write(request[-1:])
         assert (await slow_client.response()).status == 200
 
 
--- a/tests/integration/test_connection_timeouts.py
+++ b/tests/integration/test_connection_timeouts.py
@@ -1,4 +1,4 @@
-"""Timeouts of client connections that send no complete request."""
+"""Tests of the timeouts of client connections that send no complete request."""
 
 from __future__ import annotations
 
@@ -60,7 +60,7 @@
         assert connection.timeout_at_s == first_timeout_at_s
         client.writer.write(request_bytes()[30:])
         await client.response()
-        client.writer.write(request_bytes()[:30])  # a later request has a timeout of its own
+        client.writer.write(request_bytes()[:30])  # each later request has its own timeout
         await connection_with_partial_request(gateway)
         assert connection.timeout_at_s is not None
         assert first_timeout_at_s < connection.timeout_at_s < asyncio.get_running_loop().time() + 10.0
@@ -68,7 +68,7 @@
 
 @async_test
 async def test_each_pipelined_request_has_its_own_receive_timeout(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Each read ends one request and begins the next."""
+    """Each read ends one request and starts the next, so the connection always has a partial request."""
     monkeypatch.setattr(connection_limits, "RECEIVE_TIMEOUT_S", 0.6)
     async with (
         start_peers(respond_with()) as (endpoint,),
--- a/tests/integration/test_malformed_requests.py
+++ b/tests/integration/test_malformed_requests.py
@@ -1,4 +1,4 @@
-"""Malformed and ambiguous requests are rejected, and nothing of them is forwarded."""
+"""Tests that malformed and ambiguous requests are rejected and that no part of them is forwarded."""
 
 from __future__ import annotations
 
@@ -20,10 +20,10 @@
     ("text", "status"),
     [
         (b"nonsense\r\n\r\n", 400),
-        (b"GET /page-read HTTP/1.1\r\nHost: a\r\nX-Class: page-read\r\n\r\n", 400),  # no request id
+        (b"GET /page-read HTTP/1.1\r\nHost: a\r\nX-Class: page-read\r\n\r\n", 400),  # no X-Request-Id
         (b"POST /a HTTP/1.1\r\nContent-Length: 65537\r\n\r\n", 413),
         (b"POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n10001\r\n" + bytes(65537), 413),
-        (b"GET /a HTTP/1.1\r\nX-Long: " + b"a" * 20_000, 431),  # a head without an end
+        (b"GET /a HTTP/1.1\r\nX-Long: " + b"a" * 20_000, 431),  # header without an end
         (b"GET /a HTTP/1.1\r\n" + b"X-Pad: aaaaaaaaaaaaaa\r\n" * 1000 + b"\r\n", 431),
         (b"DELETE /page-read HTTP/1.1\r\nX-Request-Id: 1\r\n\r\n", 405),
         (b"GET /chapter-buy HTTP/1.1\r\nX-Request-Id: 1\r\n\r\n", 405),
@@ -31,8 +31,9 @@
         (b"GET /page-read HTTP/1.1\r\nX-Request-Id: 1\r\nX-Request-Id: 2\r\n\r\n", 400),
         (b"GET /a HTTP/1.1\r\nX-Request-Id: 1\r\nConnection: upgrade\r\nUpgrade: h2c\r\n\r\n", 400),
         (request_bytes() + b"\x00noise", 400),
-        (request_bytes("chapter-buy", {}, b"1234") + b"56789\r\n\r\n", 400),  # longer than its Content-Length
-        (request_bytes(headers={"X-Class": "chapter-buy"}), 400),  # not the class of its path
+        # The body exceeds its Content-Length.
+        (request_bytes("chapter-buy", {}, b"1234") + b"56789\r\n\r\n", 400),
+        (request_bytes(headers={"X-Class": "chapter-buy"}), 400),  # differs from the class in the path
         (request_bytes(headers={"X-Request-Id": "1" * 200}), 400),
         (request_bytes("coupon"), 400),
         *((request_bytes(headers={"X-Deadline": text}), 400) for text in ("soon", "-1", "nan", "inf", "0")),
@@ -65,7 +66,7 @@
 
 @async_test
 async def test_rejected_request_gets_one_response() -> None:
-    """Its receive timeout may end while the connection lingers."""
+    """The receive timeout may expire while the connection lingers; it must not cause a second response."""
     async with running_gateway() as gateway:
         client = await gateway.connect()
         client.writer.write(b"POST /a HTTP/1.1\r\n")
@@ -98,7 +99,7 @@
 )
 @async_test
 async def test_ambiguous_framing_is_rejected_and_not_forwarded(framing: bytes) -> None:
-    """What another parser reads as the end of the body may be the start of a smuggled request."""
+    """If two parsers find different ends of the body, a client can smuggle a request past one of them."""
     async with (
         start_peers(respond_with()) as (endpoint,),
         running_gateway(endpoint.endpoint_entry()) as gateway,
--- a/tests/unit/net/test_request_parsing.py
+++ b/tests/unit/net/test_request_parsing.py
@@ -1,4 +1,4 @@
-"""What the gateway reads in the headers of a request."""
+"""Tests of the request headers that the gateway interprets."""
 
 from __future__ import annotations
 
@@ -14,7 +14,15 @@
 
 
 def parse(headers: dict[str, str], time_left_s: float = math.inf) -> ClientRequest:
-    """Parse a request with these headers."""
+    """Parse a request.
+
+    Args:
+        headers: The headers that replace or extend those of the default request.
+        time_left_s: The time, in seconds, until the deadline of the shutdown.
+
+    Returns:
+        The request for the dispatcher.
+    """
     (message,) = RequestReader().feed(request_bytes(headers=headers))
     return RequestParser(SETTINGS.classes, lambda: time_left_s).parse(message)
 
@@ -50,7 +58,7 @@
         ("10", 5.0, 5 * US_PER_S),
         ("", 5.0, 5 * US_PER_S),
         ("0.25", 5.0, 250_000),
-        ("10", -1.0, 1),  # the shutdown should be over: still a positive timeout
+        ("10", -1.0, 1),  # after the shutdown deadline, the timeout is still positive
     ],
 )
 def test_timeout_is_limited_by_class_and_shutdown(deadline: str, time_left_s: float, timeout_us: int) -> None:
