--- a/http_gateway/net/frontend/client_connection.py
+++ b/http_gateway/net/frontend/client_connection.py
@@ -1,4 +1,4 @@
-"""One client's connection: its requests are handled one after the other."""
+"""Protocol of a client connection, which handles its requests one at a time and in order."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from http_gateway.net.client_request import Response
 from http_gateway.net.frontend.client_transport import ClientTransport
 from http_gateway.net.frontend.connection_limits import BufferLimit, ConnectionLimits
-from http_gateway.net.frontend.in_flight_request import InFlightRequest, OpenRequestIds
+from http_gateway.net.frontend.in_flight_request import InFlightRequest, RequestIdRegistry
 from http_gateway.net.frontend.request_parsing import InvalidRequestError, RequestParser
 from http_gateway.net.frontend.request_queue import RequestQueue
 from http_gateway.net.frontend.shutdown_state import ShutdownState
@@ -21,85 +21,89 @@
 
 log = logging.getLogger(__name__)
 
-_CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
+_CONTINUE_RESPONSE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 
 class FrontendState(NamedTuple):
-    """What all client connections share."""
+    """State that all client connections share."""
 
     dispatcher: RequestDispatcher
     request_parser: RequestParser
     limits: ConnectionLimits[ClientConnection]
     buffer_limit: BufferLimit
-    open_request_ids: OpenRequestIds
+    request_id_registry: RequestIdRegistry
     shutdown: ShutdownState
 
     @property
     def is_ready(self) -> bool:
-        """Whether the gateway serves requests: it has an endpoint list and is not shutting down."""
+        """Whether the gateway can serve requests: it has an endpoint list and is not shutting down."""
         return self.dispatcher.has_endpoint_list and not self.shutdown.has_begun
 
 
 class ClientConnection(SharedBufferProtocol):
-    """The protocol of one client's connection.
+    """Asyncio protocol of one client connection.
 
-    The state of a connection: `requests` that wait, the one that is `in_flight`, and whether more is read
-    (`is_reading`). After a rejected request nothing is read any more, but the connection lingers, so that the
-    client receives the response.
+    Complete requests wait in `requests` until the request in `in_flight` has its response. After a rejected
+    request, the connection parses no further requests. It stays open until the client closes it or the linger
+    timeout expires, so that the client can still receive the error response.
+
+    Args:
+        frontend: State that all client connections share.
     """
 
     def __init__(self, frontend: FrontendState) -> None:
         super().__init__()
-        self.transport: ClientTransport  # from `connection_made` on
+        self.transport: ClientTransport  # set by `connection_made`
         self.requests = RequestQueue(frontend.buffer_limit)
-        self.in_flight = InFlightRequest(frontend.dispatcher, frontend.open_request_ids)
+        self.in_flight = InFlightRequest(frontend.dispatcher, frontend.request_id_registry)
         self._frontend = frontend
         self._loop = asyncio.get_running_loop()
         self._is_reading = True
         self._is_over_limit = False
         self._is_writing_paused = False
         self._closes_after_response = False
-        # Ordinal of the request whose receive timeout is running; the first one's starts with the connection.
-        self._timed_request = 1
+        # Number, counted from 1, of the latest request whose receive timeout does not need to be started any
+        # more. The receive timeout of the first request is started when the connection is made.
+        self._timed_request_number = 1
 
     @property
     def is_idle(self) -> bool:
-        """Whether it is between requests: none is in flight, queued or partly received."""
+        """Whether the connection is between requests: none is in flight, queued or partly received."""
         has_request = self.in_flight.is_active or self.requests or self.requests.has_partial_request
         return self._is_reading and not has_request
 
     @property
     def is_reading(self) -> bool:
-        """Whether received bytes are still read as requests."""
+        """Whether received bytes are still parsed as requests; otherwise they are discarded."""
         return self._is_reading
 
     @property
     def is_over_limit(self) -> bool:
-        """Whether the client has sent more than may wait."""
+        """Whether further requests are rejected, because too many requests or bytes were waiting."""
         return self._is_over_limit
 
     @property
     def is_writing_paused(self) -> bool:
-        """Whether the client does not read what was written to it."""
+        """Whether writing is paused because the client does not read its responses."""
         return self._is_writing_paused
 
     @property
     def timeout_at_s(self) -> float | None:
-        """The loop time at which its timeout ends; None while a request is in flight."""
+        """Event loop time, in seconds, at which the timeout expires; None while a request is in flight."""
         return self._frontend.limits.timeout_at_s(self)
 
     @property
     def has_unread_bytes(self) -> bool:
-        """Whether something was received that has not been read yet: maybe a request."""
+        """Whether the socket holds received bytes, possibly a request, that asyncio has not read yet."""
         return self.transport.has_unread_bytes
 
     @property
     def unsent_bytes(self) -> int:
-        """Bytes of responses that the system has not taken yet."""
+        """Number of response bytes that the operating system has not accepted for sending yet."""
         return self.transport.unsent_bytes
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Admit the connection, or close it if there are too many."""
+        """Register the connection and start its receive timeout, or abort it if there are too many."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = ClientTransport(transport)
         if self._frontend.limits.admit(self):
@@ -109,7 +113,7 @@
             self.transport.abort()
 
     def on_data(self, data: memoryview) -> None:
-        """Read received bytes and handle the requests in them."""
+        """Parse received bytes and handle the requests that they complete."""
         if not self._is_reading:
             return
         self.requests.feed(data)
@@ -122,22 +126,25 @@
             self._handle_partial_request()
 
     def pause_writing(self) -> None:
-        """Handle no further request until the client has read its responses."""
+        """Handle no further requests until the client has read its responses."""
         self._is_writing_paused = True
 
     def resume_writing(self) -> None:
-        """Handle requests again."""
+        """Resume handling the queued requests."""
         self._is_writing_paused = False
         self._handle_queued_requests()
 
     def eof_received(self) -> None:
-        """Handle the client's disconnect; the connection may stay for responses that are not read yet."""
+        """Abandon the client's requests after the client has closed its sending side.
+
+        The connection closes once all responses are sent, or when the linger timeout expires.
+        """
         self.in_flight.abandon()
         self._stop_reading()
         self._frontend.limits.start_linger_timeout(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Release everything that the connection uses."""
+        """Abandon the request in flight and release the connection's buffers and timeout."""
         self._frontend.limits.remove(self)
         self._is_reading = False
         self._closes_after_response = True
@@ -145,9 +152,11 @@
         self.in_flight.abandon()
 
     def on_timeout(self) -> None:
-        """Handle the end of the receive, idle or linger timeout.
+        """Handle the expiry of the receive, idle or linger timeout.
 
-        A connection with unread bytes stays, since they are read in this turn of the event loop.
+        A partly received request is answered with 408 (Request Timeout). An idle connection with unread bytes
+        stays open, because the event loop reads them, possibly a request, in the current iteration. Every
+        other connection is dropped.
         """
         if self.requests.has_partial_request and self._is_reading:
             self._reject(HTTPStatus.REQUEST_TIMEOUT)
@@ -155,13 +164,13 @@
             self.drop()
 
     def drop(self) -> None:
-        """Close the connection at once."""
+        """Abort the connection without sending the responses that are still buffered."""
         self._frontend.limits.stop_timeout(self)
         self._is_reading = False
         self.transport.abort()
 
     def close_if_idle(self) -> None:
-        """Close the connection if it is between requests; one that has begun to arrive is still handled."""
+        """Close the connection if it is between requests; a request that has started to arrive is handled."""
         if self.is_idle and not self.has_unread_bytes:
             self._is_reading = False
             self.transport.close()
@@ -194,14 +203,14 @@
     def _handle_partial_request(self) -> None:
         if self.in_flight.is_active or not self.requests.has_partial_request:
             return
-        if self.requests.begun_count > self._timed_request:
-            self._timed_request = self.requests.begun_count
+        if self.requests.begun_count > self._timed_request_number:
+            self._timed_request_number = self.requests.begun_count
             self._frontend.limits.start_receive_timeout(self)
-        if self.requests.take_continue_expectation():
-            self.transport.write(_CONTINUE)
+        if self.requests.consume_continue_expectation():
+            self.transport.write(_CONTINUE_RESPONSE)
 
     def _respond(self, response: Response) -> None:
-        """Write the response to the request in flight, unless the request was abandoned."""
+        """Write the response to the request in flight, unless that request was abandoned."""
         if not self.in_flight.is_active:
             return
         self.in_flight.complete()
@@ -216,14 +225,14 @@
         self._wait_for_next_request()
 
     def _is_last_response(self) -> bool:
-        if self._is_over_limit:  # the rejection follows
+        if self._is_over_limit:  # the rejection is written after this response
             return False
         return self._closes_after_response or (
             self._frontend.shutdown.has_begun and not self._has_further_request()
         )
 
     def _has_further_request(self) -> bool:
-        """Whether another request, complete or not, was received after this one: a close would lose it."""
+        """Whether part or all of another request was received, which closing the connection would lose."""
         return bool(self.requests) or self.requests.has_partial_request or self.has_unread_bytes
 
     def _wait_for_next_request(self) -> None:
@@ -231,28 +240,30 @@
             self._frontend.limits.start_receive_timeout(self)
         else:
             self._frontend.limits.start_idle_timeout(self)
-        self._timed_request = self.requests.begun_count
+        self._timed_request_number = self.requests.begun_count
         if self.requests:
             self._loop.call_soon(self._handle_queued_requests)
 
     def _reject(self, status: HTTPStatus) -> None:
-        """Respond with an error and read nothing more, since the start of the next request is unknown.
+        """Respond with an error and parse no further bytes, because the start of the next request is unknown.
 
-        A request in flight is abandoned: the bytes after it show that its length, and so its body, was wrong.
+        A request in flight is abandoned, because malformed bytes after it show that its declared length, and
+        so its body, was wrong.
         """
         self.in_flight.abandon()
         self._stop_reading()
         self._closes_after_response = True
         self._write(Response(status))
-        # To close with unread bytes would reset the connection, and the client could lose the response.
+        # Closing a socket with unread bytes resets the connection, and the client could lose the response.
+        # So only the sending side is closed, and the linger timeout limits the wait for the client's close.
         if not self.transport.is_closing:
             self.transport.write_eof()
             self._frontend.limits.start_linger_timeout(self, evict_first=True)
 
     def _reject_over_limit(self) -> None:
-        """Reject what exceeds the limit, after the response to a request in flight.
+        """Reject requests beyond the limit, after the response to a request in flight.
 
-        The request in flight was possibly executed, so it gets its own response.
+        An endpoint may already have executed the request in flight, so that request gets its own response.
         """
         self._stop_reading()
         self._is_over_limit = True
--- a/http_gateway/net/frontend/in_flight_request.py
+++ b/http_gateway/net/frontend/in_flight_request.py
@@ -1,4 +1,4 @@
-"""The request of one client connection that is in flight, and the ids of those of all connections."""
+"""The request in flight on a client connection, and the request ids in flight on all connections."""
 
 from __future__ import annotations
 
@@ -11,41 +11,55 @@
 from http_gateway.policy.events import RequestId
 
 
-class OpenRequestIds:
-    """The client's ids (X-Request-Id) of the requests in flight on all connections."""
+class RequestIdRegistry:
+    """The ids (X-Request-Id values) of the requests in flight on all client connections."""
 
     def __init__(self) -> None:
         self._ids: set[str] = set()
 
     def __len__(self) -> int:
-        """The number of requests in flight."""
+        """Return the number of reserved ids."""
         return len(self._ids)
 
-    def add(self, client_id: str) -> None:
-        """Reserve an id; raises `InvalidRequestError` if a request in flight has it.
+    def reserve(self, client_request_id: str) -> None:
+        """Reserve a request id until it is released.
 
-        Endpoints identify requests by these ids: a second one could repeat the effect of the first.
+        Endpoints identify requests by these ids, so a second request with the same id could repeat the effect
+        of the first.
+
+        Args:
+            client_request_id: The X-Request-Id value that the client has sent.
+
+        Raises:
+            InvalidRequestError: A request in flight has the same id.
         """
-        if client_id in self._ids:
-            raise InvalidRequestError(HTTPStatus.BAD_REQUEST, "the request id is in use")
-        self._ids.add(client_id)
+        if client_request_id in self._ids:
+            raise InvalidRequestError(
+                HTTPStatus.BAD_REQUEST, "a request with the same X-Request-Id is in flight"
+            )
+        self._ids.add(client_request_id)
 
-    def release(self, client_id: str) -> None:
-        """Make an id available again."""
-        self._ids.discard(client_id)
+    def release(self, client_request_id: str) -> None:
+        """Make a request id available again."""
+        self._ids.discard(client_request_id)
 
 
 class InFlightRequest:
-    """The request that a connection works on: none or one at a time."""
+    """The request that a client connection handles; there is at most one at a time.
 
-    __slots__ = ("_client_id", "_dispatcher", "_is_active", "_open_ids", "_request_id")
+    Args:
+        dispatcher: Selects an endpoint and forwards the request.
+        registry: The ids of the requests in flight on all client connections.
+    """
 
-    def __init__(self, dispatcher: RequestDispatcher, open_ids: OpenRequestIds) -> None:
+    __slots__ = ("_client_request_id", "_dispatcher", "_is_active", "_registry", "_request_id")
+
+    def __init__(self, dispatcher: RequestDispatcher, registry: RequestIdRegistry) -> None:
         self._dispatcher = dispatcher
-        self._open_ids = open_ids
+        self._registry = registry
         self._is_active = False
-        self._request_id: RequestId | None = None  # while the dispatcher has it
-        self._client_id = ""
+        self._request_id: RequestId | None = None  # set while the dispatcher handles the request
+        self._client_request_id = ""
 
     @property
     def is_active(self) -> bool:
@@ -53,7 +67,7 @@
         return self._is_active
 
     def begin(self) -> None:
-        """Begin the work on a request."""
+        """Mark a request as in flight."""
         self._is_active = True
 
     def submit(
@@ -62,30 +76,36 @@
         respond: Callable[[Response], None],
         has_client_disconnected: Callable[[], bool],
     ) -> None:
-        """Hand the request to the dispatcher, which may call `respond` before this returns.
+        """Pass the request to the dispatcher, which may call `respond` before this method returns.
+
+        Args:
+            client_request: The request.
+            respond: Called with the response.
+            has_client_disconnected: Returns whether the client has closed its side of the connection.
 
-        Raises `InvalidRequestError` if a request with the same id is in flight.
+        Raises:
+            InvalidRequestError: A request with the same id is in flight.
         """
-        client_id = client_request.message.header(b"x-request-id") or ""
-        self._open_ids.add(client_id)
-        self._client_id = client_id
+        client_request_id = client_request.message.header(b"x-request-id") or ""
+        self._registry.reserve(client_request_id)
+        self._client_request_id = client_request_id
         request_id = self._dispatcher.submit(client_request, respond, has_client_disconnected)
-        if self._is_active:  # no response yet
+        if self._is_active:  # `respond` was not called yet
             self._request_id = request_id
 
     def complete(self) -> None:
-        """End the work on a request that has its response."""
+        """Mark the request as complete and release its id."""
         self._is_active = False
         self._request_id = None
-        self._release_client_id()
+        self._release_client_request_id()
 
     def abandon(self) -> None:
-        """End the work on the request without a response, if there is one."""
+        """End the request without a response, if one is in flight."""
         request_id = self._request_id
         self.complete()
         if request_id is not None:
             self._dispatcher.abandon(request_id)
 
-    def _release_client_id(self) -> None:
-        self._open_ids.release(self._client_id)
-        self._client_id = ""
+    def _release_client_request_id(self) -> None:
+        self._registry.release(self._client_request_id)
+        self._client_request_id = ""
--- a/http_gateway/net/frontend/request_queue.py
+++ b/http_gateway/net/frontend/request_queue.py
@@ -1,4 +1,4 @@
-"""Reads the requests of one client and queues them in order."""
+"""Parses the requests of one client connection and queues them in order."""
 
 from __future__ import annotations
 
@@ -8,11 +8,15 @@
 from http_gateway.net.http.messages import MalformedMessageError, Message
 from http_gateway.net.http.reader import RequestReader
 
-MAX_QUEUED_REQUESTS = 4  # pipelined requests on one connection; most clients send none
+MAX_QUEUED_REQUESTS = 4  # pipelined requests on one connection; most clients do not pipeline
 
 
 class RequestQueue:
-    """The requests that one client has sent and that are not in flight yet."""
+    """The requests received on one client connection that are not in flight yet.
+
+    Args:
+        buffer_limit: Counts the bytes that all client connections buffer.
+    """
 
     __slots__ = ("_buffer_limit", "_counted_bytes", "_queue", "_reader")
 
@@ -20,55 +24,63 @@
         self._buffer_limit = buffer_limit
         self._reader = RequestReader()
         self._queue: deque[Message] = deque()
-        self._counted_bytes = 0  # this connection's part of the buffered bytes of all
+        self._counted_bytes = 0  # bytes of this connection that `buffer_limit` includes
 
     def __len__(self) -> int:
-        """The number of complete requests that are queued."""
+        """Return the number of complete requests that are queued."""
         return len(self._queue)
 
     @property
     def error(self) -> MalformedMessageError | None:
-        """What is wrong with the bytes after the queued requests; None if nothing is."""
+        """The error in the bytes after the queued requests; None if there is none."""
         return self._reader.error
 
     @property
     def is_over_limit(self) -> bool:
-        """Whether the client has sent too many requests ahead, or all clients together too many bytes."""
+        """Whether too many requests are queued here, or too many bytes are buffered on all connections."""
         return len(self._queue) > MAX_QUEUED_REQUESTS or self._buffer_limit.is_exceeded
 
     @property
     def has_partial_request(self) -> bool:
-        """Whether a request has begun and is not complete yet."""
+        """Whether the start of a request was received, but not its end."""
         return self._reader.has_partial_message
 
     @property
     def begun_count(self) -> int:
-        """How many requests have begun on this connection."""
-        return self._reader.message_count
+        """Number of requests that have started to arrive on this connection, including complete ones."""
+        return self._reader.started_message_count
 
     def feed(self, data: memoryview) -> None:
-        """Queue the requests that are complete with these bytes; not to be called after an `error`."""
+        """Parse received bytes and queue the requests that they complete.
+
+        Args:
+            data: The received bytes; `feed` must not be called after an `error`.
+        """
         self._queue.extend(self._reader.feed(data))
         self._count_bytes()
 
     def pop(self) -> Message:
-        """Remove and return the oldest request; IndexError if there is none."""
+        """Remove and return the oldest request.
+
+        Raises:
+            IndexError: The queue is empty.
+        """
         message = self._queue.popleft()
         self._count_bytes()
         return message
 
-    def take_continue_expectation(self) -> bool:
-        """Whether the client waits for a 100 (Continue) before it sends the body; true once a request."""
-        return self._reader.take_continue_expectation()
+    def consume_continue_expectation(self) -> bool:
+        """Return whether the client waits for a 100 (Continue) response; true only once for each request."""
+        return self._reader.consume_continue_expectation()
 
     def discard(self) -> None:
-        """Drop all requests, the partial one too; nothing may be fed after this."""
+        """Drop all requests, including a partial one; `feed` must not be called after this."""
         self._queue.clear()
         self._reader.discard()
         self._count_bytes()
 
     def close(self) -> None:
-        """Drop all requests and release the reader."""
+        """Drop all requests and release the parser."""
         self._queue.clear()
         self._buffer_limit.adjust(-self._counted_bytes)
         self._counted_bytes = 0
--- a/tests/integration/test_client_connection.py
+++ b/tests/integration/test_client_connection.py
@@ -1,4 +1,4 @@
-"""Readiness, 100 (Continue) and the shutdown, as one client connection sees them."""
+"""Tests of readiness, 100 (Continue) responses and graceful shutdown on a client connection."""
 
 from __future__ import annotations
 
@@ -49,11 +49,11 @@
         running_gateway(endpoint.endpoint_entry()) as gateway,
     ):
         client = await gateway.connect()
-        text = request_bytes()
-        client.writer.write(text[:30])
+        request = request_bytes()
+        client.writer.write(request[:30])
         await connection_with_partial_request(gateway)
         gateway.frontend.begin_shutdown(asyncio.get_running_loop().time() + 60)
         gateway.frontend.stop_accepting()
-        client.writer.write(text[30:])
+        client.writer.write(request[30:])
         response = await client.response()
         assert (response.status, response.keep_alive) == (200, False)
--- a/tests/integration/test_client_races.py
+++ b/tests/integration/test_client_races.py
@@ -1,4 +1,4 @@
-"""Races on client connections: the order of events is forced on real connections."""
+"""Tests of races on client connections, which force the order of events on real connections."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
         assert (await gateway.request()).status == 200
         forwarded = [request.header(b"x-request-id") == "disconnected" for request in endpoint.requests]
         assert forwarded == [False, False]
-        assert endpoint.connections == 1  # the connection that was meant for the request is used again
+        assert endpoint.connections == 1  # the connection selected for the dropped request is reused
 
 
 @async_test
@@ -74,7 +74,7 @@
 
 @async_test
 async def test_failed_attempt_is_not_retried_if_its_client_has_disconnected() -> None:
-    """Each endpoint has an idle connection, so that a retry would be written at once."""
+    """Both endpoints have an idle connection, so a retry for the client would be sent at once."""
     async with (
         start_peers(respond_with(), respond_with()) as endpoints,
         running_gateway(*(endpoint.endpoint_entry() for endpoint in endpoints)) as gateway,
@@ -106,7 +106,11 @@
 
 @async_test
 async def test_queued_request_is_dropped_when_its_client_disconnects() -> None:
-    """The connection stays for unread responses; once they are read, the request would be forwarded."""
+    """A queued request must not be forwarded after its client has disconnected.
+
+    The connection stays open for responses that the client has not read. Once the client reads them, writing
+    resumes, and the gateway would handle the queued request.
+    """
     async with (
         start_peers(respond_with(body=bytes(60_000))) as (endpoint,),
         running_gateway(endpoint.endpoint_entry()) as gateway,
@@ -115,7 +119,7 @@
         client.pause_reading()
         connection = await only_connection(gateway)
         await request_until(lambda: connection.is_writing_paused, client, connection)
-        count = len(endpoint.requests)
+        forwarded_count = len(endpoint.requests)
         client.writer.write(request_bytes())
         await wait_until(lambda: connection.requests)
         client.writer.write_eof()
@@ -123,7 +127,7 @@
         client.resume_reading()
         await client.read_until_closed()
         await wait_until(lambda: not gateway.frontend.connections)
-        assert len(endpoint.requests) == count
+        assert len(endpoint.requests) == forwarded_count
 
 
 @async_test
@@ -143,7 +147,7 @@
         events = record_events(gateway)
         client.writer.write_eof()
         await wait_until(lambda: not gateway.dispatcher.in_flight_count)
-        assert outcomes(events) == [Outcome.CANCELLED]  # and not left to its deadline
+        assert outcomes(events) == [Outcome.CANCELLED]  # cancelled at the disconnect, not at the deadline
         client.close()
 
 
@@ -164,23 +168,24 @@
 
 @async_test
 async def test_requests_in_the_backlog_at_shutdown_are_answered() -> None:
-    """The system has accepted their connections, and would reset them with the listener."""
+    """The operating system would reset the connections in the backlog when the listener is closed."""
     async with (
         start_peers(respond_with()) as (endpoint,),
         running_gateway(endpoint.endpoint_entry()) as gateway,
     ):
         gateway.frontend.begin_shutdown(asyncio.get_running_loop().time() + 60)
         clients = [connect(gateway, request_bytes()) for _ in range(40)]
-        await asyncio.sleep(0)  # some are accepted, and `connection_made` was not called yet
+        # After one iteration, some connections are accepted, but their `connection_made` was not called yet.
+        await asyncio.sleep(0)
         await gateway.frontend.accept_backlog()
         gateway.frontend.stop_accepting()
         for client in clients:
-            # Shed or served: the share of an endpoint that is warming up does not matter here.
+            # The status is not checked, because the gateway may reject requests while the endpoint warms up.
             assert (await answers(client)).startswith(b"HTTP/1.1 ")
 
 
 @async_test
-async def test_request_that_crosses_the_close_of_its_idle_connection_is_answered() -> None:
+async def test_unread_request_at_the_close_of_its_idle_connection_is_answered() -> None:
     async with (
         start_peers(respond_with()) as (endpoint,),
         running_gateway(endpoint.endpoint_entry()) as gateway,
@@ -195,7 +200,7 @@
 
 @async_test
 async def test_requests_after_the_one_in_flight_at_shutdown_are_answered() -> None:
-    """One is queued, and one is received but unread when the response to the first is written."""
+    """When the first response is written, one request is queued and one is received but still unread."""
     async with (
         start_peers(never_respond) as (endpoint,),
         running_gateway(endpoint.endpoint_entry()) as gateway,
@@ -210,13 +215,13 @@
         endpoint.request_writers[0].write(PAGE)
         await wait_until(lambda: len(endpoint.requests) == 2 and not gateway.dispatcher.in_flight_count)
         connection.transport.stream.resume_reading()
-        text = await answers(client)
-        assert text.count(b"HTTP/1.1 200") == 3
-        assert text.count(b"connection: close") == 1
+        responses = await answers(client)
+        assert responses.count(b"HTTP/1.1 200") == 3
+        assert responses.count(b"connection: close") == 1
 
 
 @async_test
-async def test_timeout_of_a_request_during_shutdown_ends_with_the_shutdown() -> None:
+async def test_timeout_of_a_request_during_shutdown_is_limited_by_the_shutdown_deadline() -> None:
     async with (
         start_peers(never_respond) as (endpoint,),
         running_gateway(endpoint.endpoint_entry()) as gateway,
@@ -233,7 +238,7 @@
 @pytest.mark.parametrize("limit", [2, 4])
 @async_test
 async def test_connection_with_an_unread_request_is_not_evicted(limit: int) -> None:
-    """Neither at the limit nor at the fraction of it from which on idle connections are evicted."""
+    """Covers eviction at the connection limit, and at the fraction of it from which idle ones are evicted."""
     async with (
         start_peers(respond_with()) as (endpoint,),
         running_gateway(endpoint.endpoint_entry(), max_connections=limit) as gateway,
@@ -251,7 +256,7 @@
 
 
 @async_test
-async def test_request_that_crosses_the_idle_timeout_of_its_connection_is_answered() -> None:
+async def test_unread_request_at_the_idle_timeout_of_its_connection_is_answered() -> None:
     async with (
         start_peers(respond_with()) as (endpoint,),
         running_gateway(endpoint.endpoint_entry()) as gateway,
--- a/tests/integration/test_pipelining.py
+++ b/tests/integration/test_pipelining.py
@@ -1,4 +1,4 @@
-"""Several requests on one client connection."""
+"""Tests of several requests on one client connection."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @async_test
 async def test_pipelined_requests_over_the_limit_are_rejected() -> None:
-    """The request in flight was possibly executed, so it gets its own response instead of a rejection."""
+    """The endpoint may have executed the request in flight, which therefore still gets its own response."""
     async with (
         start_peers(never_respond) as (endpoint,),
         running_gateway(endpoint.endpoint_entry()) as gateway,
@@ -27,8 +27,8 @@
         client.writer.write(b"".join(request_bytes("chapter-buy") for _ in range(50)))
         await wait_until(lambda: any(other.is_over_limit for other in gateway.frontend.connections))
         await respond_with()(endpoint.requests[0], endpoint.request_writers[0])
-        text = await client.read_until_closed()
-        assert [part[:3] for part in text.split(b"HTTP/1.1 ")[1:]] == [b"200", b"429"]
+        responses = await client.read_until_closed()
+        assert [response[:3] for response in responses.split(b"HTTP/1.1 ")[1:]] == [b"200", b"429"]
         assert len(endpoint.requests) == 1
 
 
@@ -42,8 +42,8 @@
         client.writer.write(
             b"".join(request_bytes() for _ in range(3)) + b"GET /up HTTP/1.1\r\nConnection: close\r\n\r\n"
         )
-        text = await client.read_until_closed()
-        assert text.count(b"HTTP/1.1 200 OK") == 4
+        responses = await client.read_until_closed()
+        assert responses.count(b"HTTP/1.1 200 OK") == 4
         assert len(endpoint.requests) == 3
 
 
--- a/tests/integration/test_request_parsing.py
+++ b/tests/integration/test_request_parsing.py
@@ -1,4 +1,4 @@
-"""Headers of requests: ids, deadlines, classes, hints and what is forwarded of them."""
+"""Tests of request headers: ids, deadlines, classes, hints, and which headers are forwarded."""
 
 from __future__ import annotations
 
@@ -40,10 +40,10 @@
         assert (await second.request("chapter-buy", same_id)).status == 400
         assert len(endpoint.requests) == 1
         first.close()
-        await wait_until(lambda: not gateway.frontend.open_request_count)
+        await wait_until(lambda: not gateway.frontend.reserved_request_id_count)
         endpoint.script = respond_with()
         statuses = {(await gateway.request("chapter-buy", same_id)).status for _ in range(20)}
-        assert 200 in statuses  # the id is free now and after each response
+        assert 200 in statuses  # the id is released by the disconnect and by each response
         assert 400 not in statuses
 
 
@@ -81,7 +81,8 @@
         running_gateway(*(endpoint.endpoint_entry() for endpoint in endpoints)) as gateway,
     ):
         statuses = [(await gateway.request(headers={"X-Class": ""})).status for _ in range(3)]
-        assert statuses == [200, 200, 200]  # known as idempotent, so it is retried
+        # The class in the path is idempotent, so failed attempts are retried.
+        assert statuses == [200, 200, 200]
 
 
 @async_test
--- a/tests/integration/test_shutdown.py
+++ b/tests/integration/test_shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown and the exit of the program."""
+"""Tests of graceful shutdown and of the exit code of the program."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
             while await readiness_status(port):
                 await asyncio.sleep(0.01)
         assert time.monotonic() - signalled_at_s >= 0.4
-        assert await idle_client.read_until_closed() == b""  # closed between requests
+        assert await idle_client.read_until_closed() == b""  # closed because it is between requests
         await respond_with(body=b"bought")(endpoint.requests[0], endpoint.request_writers[0])
         response = await waiting_client.response()
         assert (response.status, response.body, response.keep_alive) == (200, b"bought", False)
@@ -82,7 +82,11 @@
 
 @async_test
 async def test_signals_after_the_end_of_the_loop_do_not_change_the_exit_code(tmp_path: Path) -> None:
-    """No handler is left then, and the default action ends the process as if it had crashed."""
+    """Signals that arrive after the event loop has ended must not change the exit code.
+
+    The loop has removed its handlers by then, and the default action would end the process as if it had
+    crashed.
+    """
     code = """
 import os, signal, sys
 from http_gateway import service as program
--- a/tests/unit/net/test_http_reader.py
+++ b/tests/unit/net/test_http_reader.py
@@ -1,4 +1,4 @@
-"""Reading HTTP/1.1 messages from bytes that arrive in any portions."""
+"""Tests of parsing HTTP/1.1 messages from bytes that arrive in chunks of any size."""
 
 from __future__ import annotations
 
@@ -19,15 +19,15 @@
     assert (message.method, message.target, message.body) == (b"POST", b"/a?b=1", b"body")
     assert message.headers == [(b"host", b"a"), (b"x-one", b"1"), (b"content-length", b"4")]
     assert message.keep_alive
-    assert (reader.has_partial_message, reader.buffered_bytes, reader.message_count) == (False, 0, 1)
+    assert (reader.has_partial_message, reader.buffered_bytes, reader.started_message_count) == (False, 0, 1)
 
 
 def test_partial_request_after_a_complete_one_is_counted() -> None:
     reader = RequestReader()
     assert len(reader.feed(REQUEST + REQUEST[:10])) == 1
-    assert (reader.has_partial_message, reader.message_count) == (True, 2)
+    assert (reader.has_partial_message, reader.started_message_count) == (True, 2)
     assert len(reader.feed(REQUEST[10:])) == 1
-    assert (reader.has_partial_message, reader.message_count) == (False, 2)
+    assert (reader.has_partial_message, reader.started_message_count) == (False, 2)
 
 
 def test_requests_before_malformed_bytes_are_returned() -> None:
@@ -57,15 +57,15 @@
     assert reader.error.status == 431
 
 
-def test_continue_expectation_is_taken_once() -> None:
+def test_continue_expectation_is_reported_once() -> None:
     reader = RequestReader()
     reader.feed(b"POST /a HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 4\r\n\r\n")
     assert reader.expects_continue
-    assert [reader.take_continue_expectation() for _ in range(2)] == [True, False]
+    assert [reader.consume_continue_expectation() for _ in range(2)] == [True, False]
 
 
 def test_interim_response_is_dropped() -> None:
     reader = ResponseReader()
-    text = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\npage"
-    (message,) = reader.feed(text)
+    responses = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\npage"
+    (message,) = reader.feed(responses)
     assert (message.status, message.body) == (200, b"page")
