--- a/http_gateway/net/frontend/client_connection.py
+++ b/http_gateway/net/frontend/client_connection.py
@@ -203,8 +203,8 @@
     def _handle_partial_request(self) -> None:
         if self.in_flight.is_active or not self.requests.has_partial_request:
             return
-        if self.requests.begun_count > self._timed_request_number:
-            self._timed_request_number = self.requests.begun_count
+        if self.requests.started_request_count > self._timed_request_number:
+            self._timed_request_number = self.requests.started_request_count
             self._frontend.limits.start_receive_timeout(self)
         if self.requests.consume_continue_expectation():
             self.transport.write(_CONTINUE_RESPONSE)
@@ -240,7 +240,7 @@
             self._frontend.limits.start_receive_timeout(self)
         else:
             self._frontend.limits.start_idle_timeout(self)
-        self._timed_request_number = self.requests.begun_count
+        self._timed_request_number = self.requests.started_request_count
         if self.requests:
             self._loop.call_soon(self._handle_queued_requests)
 
--- a/http_gateway/net/frontend/request_queue.py
+++ b/http_gateway/net/frontend/request_queue.py
@@ -46,7 +46,7 @@
         return self._reader.has_partial_message
 
     @property
-    def begun_count(self) -> int:
+    def started_request_count(self) -> int:
         """Number of requests that have started to arrive on this connection, including complete ones."""
         return self._reader.started_message_count
 
--- a/tests/support/races.py
+++ b/tests/support/races.py
@@ -63,10 +63,10 @@
     """Send requests until the condition is true; each one has its response, read or not, before the next."""
 
     async def request() -> None:
-        count = connection.requests.begun_count
+        count = connection.requests.started_request_count
         client.writer.write(request_bytes())
         await wait_until(
-            lambda: connection.requests.begun_count > count and not connection.in_flight.is_active
+            lambda: connection.requests.started_request_count > count and not connection.in_flight.is_active
         )
 
     while not condition():
