--- a/http_gateway/net/frontend/client_transport.py
+++ b/http_gateway/net/frontend/client_transport.py
@@ -15,18 +15,18 @@
     """Writes to a client and polls the client's socket.
 
     Args:
-        stream: The asyncio transport of the connection.
+        asyncio_transport: The asyncio transport of the connection.
     """
 
-    __slots__ = ("stream",)
+    __slots__ = ("asyncio_transport",)
 
-    def __init__(self, stream: asyncio.Transport) -> None:
-        self.stream = stream
+    def __init__(self, asyncio_transport: asyncio.Transport) -> None:
+        self.asyncio_transport = asyncio_transport
 
     @property
     def is_closing(self) -> bool:
         """Whether the transport is closed or closing."""
-        return self.stream.is_closing()
+        return self.asyncio_transport.is_closing()
 
     @property
     def has_unread_bytes(self) -> bool:
@@ -41,28 +41,28 @@
     @property
     def unsent_bytes(self) -> int:
         """Number of written bytes that the operating system has not accepted for sending yet."""
-        return self.stream.get_write_buffer_size()
+        return self.asyncio_transport.get_write_buffer_size()
 
     def write(self, data: bytes) -> None:
         """Send bytes, which are buffered until the operating system accepts them."""
-        self.stream.write(data)
+        self.asyncio_transport.write(data)
 
     def write_eof(self) -> None:
         """Close the sending side of the connection after all written bytes are sent."""
-        self.stream.write_eof()
+        self.asyncio_transport.write_eof()
 
     def close(self) -> None:
         """Close the connection after all written bytes are sent."""
-        self.stream.close()
+        self.asyncio_transport.close()
 
     def abort(self) -> None:
         """Close the connection at once and discard unsent bytes."""
-        self.stream.abort()
+        self.asyncio_transport.abort()
 
     def _poll(self, events: int) -> bool:
         if self.is_closing:
             return False
-        return _has_event(self.stream.get_extra_info("socket"), events)
+        return _has_event(self.asyncio_transport.get_extra_info("socket"), events)
 
 
 def _has_event(sock: socket.socket, events: int) -> bool:
--- a/tests/integration/test_client_races.py
+++ b/tests/integration/test_client_races.py
@@ -139,7 +139,7 @@
         client = await gateway.connect()
         client.pause_reading()
         connection = await only_connection(gateway)
-        connection.transport.stream.set_write_buffer_limits(high=2**30)
+        connection.transport.asyncio_transport.set_write_buffer_limits(high=2**30)
         await request_until(lambda: connection.unsent_bytes, client, connection)
         endpoint.script = never_respond
         client.writer.write(request_bytes())
@@ -214,7 +214,7 @@
         endpoint.script = respond_with()
         endpoint.request_writers[0].write(PAGE)
         await wait_until(lambda: len(endpoint.requests) == 2 and not gateway.dispatcher.in_flight_count)
-        connection.transport.stream.resume_reading()
+        connection.transport.asyncio_transport.resume_reading()
         responses = await answers(client)
         assert responses.count(b"HTTP/1.1 200") == 3
         assert responses.count(b"connection: close") == 1
@@ -251,7 +251,7 @@
         for _ in range(limit):
             others.append(await gateway.connect())
             assert (await others[-1].request()).status == 200
-        connection.transport.stream.resume_reading()
+        connection.transport.asyncio_transport.resume_reading()
         assert (await client.response()).status == 200
 
 
@@ -266,5 +266,5 @@
         connection = await only_connection(gateway)
         await pause_reading_until_unread(connection, lambda: client.writer.write(request_bytes()))
         connection.on_timeout()
-        connection.transport.stream.resume_reading()
+        connection.transport.asyncio_transport.resume_reading()
         assert (await client.response()).status == 200
--- a/tests/support/races.py
+++ b/tests/support/races.py
@@ -75,7 +75,7 @@
 
 async def pause_reading_until_unread(connection: ClientConnection, send: Callable[[], object]) -> None:
     """Stop reading the connection, send something on it and wait until it has arrived unread."""
-    connection.transport.stream.pause_reading()
+    connection.transport.asyncio_transport.pause_reading()
     send()
     await wait_until(lambda: connection.has_unread_bytes)
 
