--- a/tests/support/races.py
+++ b/tests/support/races.py
@@ -63,10 +63,10 @@
     """Send requests until the condition is true; each one has its response, read or not, before the next."""
 
     async def request() -> None:
-        count = connection.requests.begun_count
+        count = connection.requests.started_request_count
         client.writer.write(request_bytes())
         await wait_until(
-            lambda: connection.requests.begun_count > count and not connection.in_flight.is_active
+            lambda: connection.requests.started_request_count > count and not connection.in_flight.is_active
         )
 
     while not condition():
@@ -75,7 +75,7 @@
 
 async def pause_reading_until_unread(connection: ClientConnection, send: Callable[[], object]) -> None:
     """Stop reading the connection, send something on it and wait until it has arrived unread."""
-    connection.transport.stream.pause_reading()
+    connection.transport.asyncio_transport.pause_reading()
     send()
     await wait_until(lambda: connection.has_unread_bytes)
 
