--- a/http_gateway/__main__.py
+++ b/http_gateway/__main__.py
@@ -1,4 +1,4 @@
-"""Runs one gateway: `python -m http_gateway`."""
+"""Entry point of `python -m http_gateway`, which runs one gateway process."""
 
 from __future__ import annotations
 
--- a/http_gateway/net/__init__.py
+++ b/http_gateway/net/__init__.py
@@ -1,1 +1,1 @@
-"""The gateway's sockets: client connections, connections to endpoints, discovery."""
+"""Network side of the gateway: client connections, endpoint connections, discovery and configuration."""
--- a/http_gateway/net/clock.py
+++ b/http_gateway/net/clock.py
@@ -1,4 +1,4 @@
-"""The gateway's clock."""
+"""The time source of the gateway."""
 
 from __future__ import annotations
 
@@ -8,14 +8,15 @@
 
 
 class Clock:
-    """Unix time in microseconds that never runs backwards.
+    """A clock that returns Unix time in microseconds and never runs backwards.
 
-    The wall clock is read once; the monotonic clock advances it.
+    The wall clock is read once, at construction. From then on the monotonic clock advances the time, so that
+    adjustments of the system time have no effect.
     """
 
     def __init__(self) -> None:
-        self._anchor_ns = time.time_ns() - time.monotonic_ns()
+        self._epoch_offset_ns = time.time_ns() - time.monotonic_ns()
 
     def now_us(self) -> int:
-        """The present moment."""
-        return (self._anchor_ns + time.monotonic_ns()) // _NS_PER_US
+        """Return the current Unix time in microseconds."""
+        return (self._epoch_offset_ns + time.monotonic_ns()) // _NS_PER_US
--- a/tests/unit/test_log_rate_limit.py
+++ b/tests/unit/test_log_rate_limit.py
@@ -1,4 +1,4 @@
-"""The limit on the rate of log lines."""
+"""Tests for the rate limit on log lines."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 
 
 def record_at(created_s: float, message: str, *arguments: object) -> logging.LogRecord:
-    """A log record of a moment."""
+    """Return a log record with the given creation time, in seconds."""
     record = logging.LogRecord("test", logging.INFO, __file__, 1, message, arguments, None)
     record.created = created_s
     return record
 
 
-def test_one_line_per_text_and_interval_passes() -> None:
+def test_one_line_per_template_and_interval_passes() -> None:
     limiter = LogRateLimiter()
     assert limiter.filter(record_at(100.0, "connect failed port=%d", 1))
     assert not limiter.filter(record_at(100.1, "connect failed port=%d", 2))
@@ -22,7 +22,7 @@
     assert limiter.filter(record_at(100.0 + MIN_INTERVAL_S, "connect failed port=%d", 3))
 
 
-def test_next_line_counts_the_suppressed_ones() -> None:
+def test_next_line_reports_the_number_of_suppressed_lines() -> None:
     limiter = LogRateLimiter()
     limiter.filter(record_at(100.0, "connect failed port=%d", 1))
     for _ in range(2):
