--- a/http_gateway/net/config.py
+++ b/http_gateway/net/config.py
@@ -1,4 +1,4 @@
-"""Reads the configuration of a gateway from the environment and its configuration file."""
+"""Reads the configuration of a gateway from environment variables and the configuration file."""
 
 from __future__ import annotations
 
@@ -17,17 +17,19 @@
 from http_gateway.policy.time_units import US_PER_S
 from http_gateway.settings_reader import read_settings
 
-MAX_FILE_BYTES = 16 * 1024 * 1024  # a file with a list of thousands of endpoints has less than 1 MiB
+MAX_FILE_BYTES = 16 * 1024 * 1024  # a file that lists thousands of endpoints is smaller than 1 MiB
 DEFAULT_IDLE_TIMEOUT_US = 15 * US_PER_S
 DEFAULT_MAX_DESCRIPTORS = 1024
 
-# Fields that a variable may set: these two for the life of the process, the third for its start.
-_LIFETIME_VARIABLES = {"name": "PROXY_NAME", "listen": "PROXY_LISTEN"}
-_START_VARIABLES = {**_LIFETIME_VARIABLES, "discovery": "PROXY_DISCOVERY"}
+# Fields of the file that an environment variable overrides. The variables for `name` and `listen` apply at
+# startup and at each reload. PROXY_DISCOVERY applies at startup only, so that a reload can change the
+# discovery address.
+_RELOAD_VARIABLES = {"name": "PROXY_NAME", "listen": "PROXY_LISTEN"}
+_STARTUP_VARIABLES = {**_RELOAD_VARIABLES, "discovery": "PROXY_DISCOVERY"}
 
 
 class ConfigError(Exception):
-    """The configuration cannot be read or used."""
+    """Raised when the configuration cannot be read or is invalid."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -38,35 +40,50 @@
     listen_address: Address
     discovery_address: Address
     seed: int
-    cached_list: EndpointList  # the last list of an earlier process
+    cached_list: EndpointList  # the last endpoint list that an earlier process received
     settings: Settings
     connect_timeout_s: float
-    idle_timeout_s: float  # endpoints close connections that are idle for this long, or earlier
-    max_descriptors: int  # that the process may open
+    idle_timeout_s: float  # endpoints close connections that are idle for this long or less
+    max_descriptors: int  # file descriptors that the process may open
 
 
 def load_config(environment: Mapping[str, str]) -> GatewayConfig:
-    """Read the configuration at the start; variables override fields of the file.
+    """Read the configuration at startup; environment variables override fields of the file.
+
+    Args:
+        environment: The environment variables.
+
+    Returns:
+        The configuration.
 
     Raises:
-        ConfigError: The configuration cannot be read or used.
+        ConfigError: The configuration cannot be read or is invalid.
     """
-    return _load(environment, _START_VARIABLES)
+    return _load(environment, _STARTUP_VARIABLES)
 
 
 def reload_config(environment: Mapping[str, str]) -> GatewayConfig:
-    """Read the configuration again; the address of discovery comes from the file, which is newer.
+    """Read the configuration again in a running gateway.
+
+    The discovery address comes from the file even if PROXY_DISCOVERY is set, as the file is newer than the
+    variable.
+
+    Args:
+        environment: The environment variables.
+
+    Returns:
+        The configuration.
 
     Raises:
-        ConfigError: The configuration cannot be read or used.
+        ConfigError: The configuration cannot be read or is invalid.
     """
-    return _load(environment, _LIFETIME_VARIABLES)
+    return _load(environment, _RELOAD_VARIABLES)
 
 
 def _load(environment: Mapping[str, str], variables: Mapping[str, str]) -> GatewayConfig:
     path = environment.get("PROXY_CONFIG")
     if not path:
-        raise ConfigError("PROXY_CONFIG names no file")
+        raise ConfigError("PROXY_CONFIG is not set or is empty")
     document = _read_document(path)
     overrides = {field: environment[name] for field, name in variables.items() if environment.get(name)}
     try:
@@ -79,11 +96,11 @@
     try:
         document = orjson.loads(_read_file(path))
     except OSError as error:
-        raise ConfigError(f"cannot read PROXY_CONFIG: {error.strerror}") from None
+        raise ConfigError(f"cannot read the file named by PROXY_CONFIG: {error.strerror}") from None
     except orjson.JSONDecodeError as error:
-        raise ConfigError(f"PROXY_CONFIG is not JSON: {error}") from None
+        raise ConfigError(f"the file named by PROXY_CONFIG is not valid JSON: {error}") from None
     if not isinstance(document, dict):
-        raise ConfigError("PROXY_CONFIG is not a JSON object")
+        raise ConfigError("the file named by PROXY_CONFIG does not contain a JSON object")
     return document
 
 
@@ -91,7 +108,7 @@
     with open(path, "rb") as file:
         content = file.read(MAX_FILE_BYTES + 1)
     if len(content) > MAX_FILE_BYTES:
-        raise ConfigError(f"PROXY_CONFIG exceeds {MAX_FILE_BYTES} bytes")
+        raise ConfigError(f"the file named by PROXY_CONFIG exceeds {MAX_FILE_BYTES} bytes")
     return content
 
 
@@ -135,7 +152,7 @@
 
 
 def _limit_descriptors(configured: int) -> int:
-    """Return the configured number, or the system's limit if that is lower."""
+    """Return the configured limit on file descriptors, or the soft limit of the process if that is lower."""
     soft_limit, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     if soft_limit == resource.RLIM_INFINITY:
         return configured
--- a/tests/integration/test_configuration.py
+++ b/tests/integration/test_configuration.py
@@ -1,4 +1,4 @@
-"""Configuration at the start: overrides by variables, and invalid files."""
+"""Tests for the configuration at startup: environment variables and invalid files."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def config_without(field: str) -> dict[str, Any]:
-    """A configuration without one of its fields."""
+    """Return a configuration that lacks one field."""
     return {name: value for name, value in config_document(1).items() if name != field}
 
 
@@ -35,11 +35,12 @@
         config_document(1, settings={}),
         config_document(1, settings=[]),
         config_document(1, known={"members": [{}]}),
-        config_document(1, listen="192.0.2.1:9000"),  # no address of any machine: it cannot be bound
+        # An address reserved for documentation (RFC 5737), so that no machine can bind it.
+        config_document(1, listen="192.0.2.1:9000"),
     ],
 )
 @async_test
-async def test_invalid_configuration_is_one_plain_line_and_exit_code_2(
+async def test_invalid_configuration_prints_one_line_and_exits_with_code_2(
     tmp_path: Path, config: object
 ) -> None:
     async with running_service(tmp_path, config) as process:
@@ -50,7 +51,7 @@
         assert errors.count(b"\n") == 1
 
 
-def test_variables_override_the_file(tmp_path: Path) -> None:
+def test_environment_variables_override_the_file(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     path.write_bytes(orjson.dumps(config_document(1)))
     config = load_config({"PROXY_CONFIG": str(path), "PROXY_NAME": "n7", "PROXY_LISTEN": "127.0.0.2:9001"})
