--- a/http_gateway/net/discovery/__init__.py
+++ b/http_gateway/net/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Discovery client: keeps the endpoint list up to date with a watch on the discovery service."""
+"""Discovery client, which keeps the endpoint list up to date through a watch on the discovery service."""
--- a/http_gateway/net/discovery/endpoint_list.py
+++ b/http_gateway/net/discovery/endpoint_list.py
@@ -1,4 +1,4 @@
-"""Reads the endpoint lists of discovery; the only module that knows their field names."""
+"""Decodes the endpoint lists that discovery sends; only this module knows their field names."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from http_gateway.policy.endpoint import Endpoint, EndpointId, EndpointState
 from http_gateway.policy.time_units import US_PER_MS
 
-_STATES = {
+_STATES_BY_PHASE = {
     "Ready": EndpointState.READY,
     "Terminating": EndpointState.DRAINING,
     "Gone": EndpointState.REMOVED,
@@ -19,12 +19,12 @@
 
 
 class EndpointListError(ValueError):
-    """A document is not an endpoint list; the message names the invalid part."""
+    """Raised for a document that is not an endpoint list; the message names the invalid part."""
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointEntry:
-    """One endpoint of a list: its description for the policy, and the address at which it listens."""
+    """One endpoint of a list: its description for the policy and the address on which it listens."""
 
     endpoint: Endpoint
     address: Address
@@ -32,35 +32,44 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointList:
-    """One list that discovery has sent."""
+    """One endpoint list from discovery."""
 
     revision: int
-    is_complete: bool  # it names every endpoint, not only those that have changed
+    is_complete: bool  # whether it contains all endpoints; otherwise only those that have changed
     entries: tuple[EndpointEntry, ...]
 
 
 def endpoint_id(name: str) -> EndpointId:
-    """Return the policy's id of an endpoint: a hash, equal at all gateways and after a restart."""
+    """Return the id under which the policy knows an endpoint.
+
+    It is a hash of the name, so that it is the same at all gateways and after a restart.
+    """
     return int.from_bytes(blake2b(name.encode(), digest_size=8).digest(), "big")
 
 
 def read_endpoint_list(document: object) -> EndpointList:
-    """Read a decoded endpoint list.
+    """Convert a parsed JSON document into an endpoint list.
+
+    An endpoint in an unknown state is treated as draining.
+
+    Args:
+        document: The parsed JSON document.
 
-    An endpoint in a state that is not known is read as draining.
+    Returns:
+        The endpoint list.
 
     Raises:
         EndpointListError: The document is not an endpoint list.
     """
     if not isinstance(document, Mapping):
-        raise EndpointListError("an endpoint list is not an object")
+        raise EndpointListError("the endpoint list is not a JSON object")
     members = document.get("members")
     if not isinstance(members, Iterable):
-        raise EndpointListError("members is not a list")
+        raise EndpointListError("members is not a JSON array")
     try:
         revision = int(document.get("revision") or 0)
     except (ValueError, TypeError, OverflowError):
-        raise EndpointListError("revision is not a whole number") from None
+        raise EndpointListError("revision is not an integer") from None
     entries = tuple(_read_entry(entry, index) for index, entry in enumerate(members))
     return EndpointList(revision, bool(document.get("complete")), entries)
 
@@ -69,7 +78,7 @@
     try:
         endpoint = Endpoint(
             id=endpoint_id(str(entry["id"])),
-            state=_STATES.get(str(entry.get("phase")), EndpointState.DRAINING),
+            state=_STATES_BY_PHASE.get(str(entry.get("phase")), EndpointState.DRAINING),
             zone=str(entry.get("locality") or ""),
             machine_type=str(entry.get("flavor") or ""),
             deduplication_group=None if entry.get("cell") is None else int(entry["cell"]),
--- a/http_gateway/net/discovery/json_stream.py
+++ b/http_gateway/net/discovery/json_stream.py
@@ -1,46 +1,54 @@
-"""Splits a stream into JSON documents, whatever their layout and the sizes of the received pieces."""
+"""Splits a byte stream into JSON documents, whatever their whitespace and the sizes of the chunks."""
 
 from __future__ import annotations
 
 import re
 
-MAX_DOCUMENT_BYTES = 4 * 1024 * 1024  # a list of thousands of endpoints is smaller
+MAX_DOCUMENT_BYTES = 4 * 1024 * 1024  # a list of a few thousand endpoints is smaller
 
-# Complete strings are tokens, so that brackets in them do not count; a single quote starts an incomplete one.
+# A complete JSON string is one token, so that brackets inside it are not counted. A quotation mark that is a
+# token by itself starts a string that is still incomplete.
 _TOKEN = re.compile(rb'"(?:[^"\\]++|\\.)*+"|[{}\[\]"]', re.DOTALL)
 
 
 class JsonStreamError(ValueError):
-    """The stream contains something other than objects and lists, or a document that is too large."""
+    """Raised when a stream contains other data than JSON objects and arrays, or a document is too large."""
 
 
-class JsonStream:
-    """Finds the documents of a stream by their brackets."""
+class JsonStreamSplitter:
+    """Finds the ends of JSON documents in a stream by matching their brackets."""
 
     def __init__(self) -> None:
         self._buffer = b""
-        self._scanned = 0  # bytes of the buffer that contain no further token
-        self._depth = 0  # open brackets
+        self._scan_offset = 0  # bytes at the start of the buffer that have been searched for tokens
+        self._depth = 0  # number of unclosed brackets
 
     @property
     def has_partial_document(self) -> bool:
-        """Whether a document has begun and is incomplete."""
+        """Whether the beginning of a document has been received, but not its end."""
         return bool(self._buffer)
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Take received bytes and return the documents that are complete now.
+        """Add received bytes and return the documents that they complete.
+
+        Args:
+            data: The received bytes.
+
+        Returns:
+            The bytes of each complete document, in the order of the stream.
 
         Raises:
-            JsonStreamError: The stream contains neither an object nor a list, or a document is too large.
+            JsonStreamError: The stream contains other data than objects and arrays, or a document is
+                too large.
         """
         self._buffer += data
         documents: list[bytes] = []
         start = 0
-        scanned = len(self._buffer)
-        for token in _TOKEN.finditer(self._buffer, self._scanned):
+        scan_offset = len(self._buffer)
+        for token in _TOKEN.finditer(self._buffer, self._scan_offset):
             text = token.group()
             if text == b'"':
-                scanned = token.start()
+                scan_offset = token.start()
                 break
             if text in (b"{", b"["):
                 self._depth += 1
@@ -50,15 +58,15 @@
                     documents.append(self._buffer[start : token.end()])
                     start = token.end()
         self._buffer = self._buffer[start:]
-        self._scanned = scanned - start
+        self._scan_offset = scan_offset - start
         self._check_remainder()
         return documents
 
     def _check_remainder(self) -> None:
         if not self._depth:
             if self._buffer.strip():
-                raise JsonStreamError("the stream contains neither an object nor a list")
+                raise JsonStreamError("the stream contains data other than JSON objects and arrays")
             self._buffer = b""
-            self._scanned = 0
+            self._scan_offset = 0
         if len(self._buffer) > MAX_DOCUMENT_BYTES:
-            raise JsonStreamError(f"a document exceeds {MAX_DOCUMENT_BYTES} bytes")
+            raise JsonStreamError(f"a JSON document exceeds {MAX_DOCUMENT_BYTES} bytes")
--- a/http_gateway/net/discovery/session.py
+++ b/http_gateway/net/discovery/session.py
@@ -1,4 +1,4 @@
-"""The calls to one discovery service, until the gateway moves to another one."""
+"""A session with one discovery service, which lasts until the gateway switches to another service."""
 
 from __future__ import annotations
 
@@ -17,18 +17,22 @@
 log = logging.getLogger(__name__)
 
 CONNECT_TIMEOUT_S = 1.0
-MAX_CONCURRENT_CALLS = 5  # the oldest is cancelled for a further one
+MAX_CONCURRENT_CALLS = 5  # a further call cancels the oldest one
 
 
 class DiscoverySession:
-    """Keeps a watch on one service open, resuming from the last revision that it has sent.
+    """Keeps a watch on one discovery service open.
+
+    A call is one HTTP request for a watch. After a watch has ended, the next call resumes from the last
+    revision that the service has sent.
 
     Args:
-        address: Where the service listens.
-        revision: The revision to resume from; 0 for a complete list. It means nothing to another service.
-        schedule: When calls are due.
-        on_list: Called with each list; an exception ends the watch.
-        responded: Set when a list has come, or the service has rejected a call.
+        address: The address of the service.
+        revision: The revision to resume from; 0 requests a complete list. Revisions of different services are
+            unrelated.
+        schedule: The timing of the calls.
+        on_list: Callback for each list; an exception that it raises ends the watch.
+        service_responded: Event to set once the service has sent a list or rejected a call.
     """
 
     def __init__(
@@ -37,99 +41,109 @@
         revision: int,
         schedule: PollSchedule,
         on_list: Callable[[EndpointList], None],
-        responded: asyncio.Event,
+        service_responded: asyncio.Event,
     ) -> None:
         self._address = address
         self._revision = revision
         self._schedule = schedule
         self._on_list = on_list
-        self._responded = responded
-        self._watch: DiscoveryWatch | None = None  # the one in use: the first that was accepted
+        self._service_responded = service_responded
+        self._active_watch: DiscoveryWatch | None = None  # the first watch that the service accepted
         self._is_closed = False
 
     def close(self) -> None:
-        """Ignore everything that the service sends from now on."""
+        """Close the session; everything that the service sends later is ignored."""
         self._is_closed = True
 
     async def run(self) -> None:
-        """Open one watch after the other, until cancelled."""
-        if self._schedule.is_shared:  # gateways that start or move together would all call at once
+        """Open a watch, and another one whenever it ends, until the task is cancelled."""
+        # Gateways that start together or switch together would otherwise all call the service at once.
+        if self._schedule.is_shared:
             await self._wait_for_next_call()
         while True:
             try:
                 watch = await self._open_watch()
                 log.info('discovery watch ended reason="%s"', await watch.ended)
-            except Exception:  # without a watch, draining endpoints would go unnoticed
+            except Exception:  # if the loop ended here, draining endpoints would go unnoticed
                 log.exception("discovery watch failed")
             finally:
-                self._release_watch()
+                self._end_active_watch()
             await self._wait_for_next_call()
 
-    def use_watch(self, watch: DiscoveryWatch) -> bool:
-        """Return whether this watch is the one in use; the first accepted one becomes it."""
-        if not self._is_closed and self._watch is None and not watch.ended.done():
-            self._watch = watch
-        return not self._is_closed and self._watch is watch
+    def try_activate(self, watch: DiscoveryWatch) -> bool:
+        """Make a watch the active one if there is none; return whether it is the active watch."""
+        if not self._is_closed and self._active_watch is None and not watch.ended.done():
+            self._active_watch = watch
+        return not self._is_closed and self._active_watch is watch
 
     def on_rejected(self, after_s: float) -> None:
-        """Slow the schedule down after a call was rejected, so many seconds after its request."""
+        """Adapt the schedule to a rejected call.
+
+        Args:
+            after_s: Seconds from the request to the rejection.
+        """
         self._schedule.on_rejected(after_s)
         if not self._is_closed:
-            self._responded.set()
+            self._service_responded.set()
 
     def on_document(self, watch: DiscoveryWatch, document: bytes) -> None:
-        """Read a list and pass it on, if it comes from the watch in use.
+        """Decode a list and pass it on if it comes from the active watch.
+
+        A list that cannot be decoded ends the watch, as its changes would otherwise be missing from the
+        current list. The next watch resumes from the revision before it.
 
-        An unreadable list ends the watch: its changes would be missing from the list in force.
+        Args:
+            watch: The watch that received the document.
+            document: The bytes of the list.
 
         Raises:
-            orjson.JSONDecodeError: It is not JSON.
-            EndpointListError: It is not an endpoint list.
+            orjson.JSONDecodeError: The document is not JSON.
+            EndpointListError: The document is not an endpoint list.
         """
-        if not self.use_watch(watch):
+        if not self.try_activate(watch):
             return
         endpoint_list = read_endpoint_list(orjson.loads(document))
         self._on_list(endpoint_list)
         self._revision = endpoint_list.revision
         self._schedule.on_list_received()
-        self._responded.set()
+        self._service_responded.set()
 
     async def _wait_for_next_call(self) -> None:
         await asyncio.sleep(self._schedule.next_delay_s(time.time()))
 
-    def _release_watch(self) -> None:
-        if self._watch is not None:
-            self._watch.end("stopped")
-        self._watch = None
+    def _end_active_watch(self) -> None:
+        if self._active_watch is not None:
+            self._active_watch.end("stopped")
+        self._active_watch = None
 
     async def _open_watch(self) -> DiscoveryWatch:
-        """Call until the service accepts a watch."""
-        # Not a task group: a call is cancelled without waiting for its end.
+        """Make calls until the service accepts a watch, and return this watch."""
+        # A task group would wait for the end of cancelled calls, which this method must not do.
         calls: list[asyncio.Task[None]] = []
         try:
-            while self._watch is None:
+            while self._active_watch is None:
                 calls = [call for call in calls if not call.done()]
                 if len(calls) >= MAX_CONCURRENT_CALLS:
                     calls.pop(0).cancel()
                 calls.append(asyncio.create_task(self._call()))
                 await self._wait_for_calls(calls)
-            return self._watch
+            return self._active_watch
         finally:
             for call in calls:
                 call.cancel()
 
     async def _wait_for_calls(self, calls: list[asyncio.Task[None]]) -> None:
-        """Wait until a call has ended, or another one is due beside them."""
+        """Wait until a call has ended or the next call is due while these are unanswered."""
         ended, _ = await asyncio.wait(
             calls, timeout=self._schedule.overlap_delay_s, return_when=asyncio.FIRST_COMPLETED
         )
         for call in ended:
             call.result()
-        if ended and self._watch is None:
+        if ended and self._active_watch is None:
             await self._wait_for_next_call()
 
     async def _call(self) -> None:
-        """Call once, until the watch is accepted or has ended."""
+        """Make one call; return once its watch is accepted or has ended."""
         watch = await self._connect()
         if watch is None:
             return
@@ -137,8 +151,8 @@
             if not await watch.accepted:
                 log.info('discovery watch ended reason="%s"', await watch.ended)
         finally:
-            if self._watch is not watch:
-                watch.end("another watch is in use")
+            if self._active_watch is not watch:
+                watch.end("another watch is active")
 
     async def _connect(self) -> DiscoveryWatch | None:
         host, port = self._address
--- a/http_gateway/net/discovery/watch.py
+++ b/http_gateway/net/discovery/watch.py
@@ -1,4 +1,4 @@
-"""One call to a discovery service: the request, and the stream of endpoint lists that answers it."""
+"""One call to a discovery service: an HTTP request whose response is a stream of endpoint lists."""
 
 from __future__ import annotations
 
@@ -9,16 +9,18 @@
 import httptools
 
 from http_gateway.net.address import Address
-from http_gateway.net.discovery.json_stream import JsonStream
+from http_gateway.net.discovery.json_stream import JsonStreamSplitter
 
-# An open watch sends an empty line every 2 s; changes that a silent one misses count as received after 6 s.
-WATCH_SILENCE_TIMEOUT_S = 2.5
-# With the time to connect, an unanswered call ends before the next poll slot.
+# The service sends an empty line every 2 s on an open watch. The gateway is deemed notified of a change after
+# 6 s, even if it has missed the change on a silent watch. A silent watch is therefore closed early enough to
+# open another one within that time.
+WATCH_IDLE_TIMEOUT_S = 2.5
+# An unanswered call, including the time to connect, ends before the next poll slot of the gateway.
 RESPONSE_TIMEOUT_S = 4.0
 
 
 class WatchRejectedError(Exception):
-    """The discovery service has answered with a status other than 200."""
+    """Raised when the discovery service responds with a status other than 200."""
 
     def __init__(self, status: int) -> None:
         self.status = status
@@ -26,30 +28,39 @@
 
 
 class WatchListener(Protocol):
-    """What a watch notifies."""
+    """Receiver of the events of a watch."""
 
     def on_rejected(self, after_s: float) -> None:
-        """The service has rejected the call, so many seconds after the request."""
+        """Handle a rejected call.
 
-    def use_watch(self, watch: DiscoveryWatch) -> bool:
-        """Return whether this watch is the one in use; the first accepted one becomes it."""
+        Args:
+            after_s: Seconds from the request to the rejection.
+        """
+
+    def try_activate(self, watch: DiscoveryWatch) -> bool:
+        """Make a watch the active one if there is none; return whether it is the active watch."""
 
     def on_document(self, watch: DiscoveryWatch, document: bytes) -> None:
-        """A document has come; an exception ends the watch."""
+        """Handle a complete document; an exception raised here ends the watch."""
 
 
 class DiscoveryWatch(asyncio.Protocol):
-    """The connection of one call, which hands each document to its listener.
+    """The connection of one call, which passes each received document to a listener.
+
+    Args:
+        address: The address of the service.
+        revision: The revision to resume from; 0 requests a complete list.
+        listener: The receiver of documents and rejections.
 
     Attributes:
-        accepted: Whether the service has accepted the call; False if the watch ended before that.
-        ended: The reason of the end, once the watch has ended.
+        accepted: Resolves to whether the service has accepted the call; False if the watch ended before that.
+        ended: Resolves to the reason for the end, once the watch has ended.
     """
 
     def __init__(self, address: Address, revision: int, listener: WatchListener) -> None:
         self._request = _watch_request(address, revision)
         self._listener = listener
-        self._documents = JsonStream()
+        self._documents = JsonStreamSplitter()
         self._parser = httptools.HttpResponseParser(self)
         self._loop = asyncio.get_running_loop()
         self._transport: asyncio.Transport | None = None
@@ -59,7 +70,7 @@
         self.ended: asyncio.Future[str] = self._loop.create_future()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Send the request."""
+        """Send the request on the new connection."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         self._requested_at_s = self._loop.time()
@@ -67,7 +78,7 @@
         self._restart_timeout(RESPONSE_TIMEOUT_S)
 
     def data_received(self, data: bytes) -> None:
-        """Parse a part of the response."""
+        """Parse the next part of the response."""
         if self.ended.done():
             return
         try:
@@ -75,36 +86,48 @@
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
             cause = error.__context__ or error
             self.end(f"{type(cause).__name__}: {cause}")
-        # A document that has begun must be complete within the timeout that runs.
+        # The timeout is not restarted while a document is incomplete: the rest must arrive before it expires.
         if not self._documents.has_partial_document and not self.ended.done():
-            self._restart_timeout(WATCH_SILENCE_TIMEOUT_S)
+            self._restart_timeout(WATCH_IDLE_TIMEOUT_S)
 
     def on_headers_complete(self) -> None:
-        """Check the status; called by the parser. Raises `WatchRejectedError`."""
+        """Check the response status; called by the parser.
+
+        Raises:
+            WatchRejectedError: The status is not 200.
+        """
         status = self._parser.get_status_code()
         if status != HTTPStatus.OK:
             self._listener.on_rejected(self._loop.time() - self._requested_at_s)
             raise WatchRejectedError(status)
-        if not self._listener.use_watch(self):
-            self.end("another watch is in use")
+        if not self._listener.try_activate(self):
+            self.end("another watch is active")
         elif not self.accepted.done():
             self.accepted.set_result(True)
 
     def on_body(self, data: bytes) -> None:
-        """Hand on the documents that are complete; called by the parser. Raises `JsonStreamError`."""
+        """Pass complete documents to the listener; called by the parser.
+
+        Raises:
+            JsonStreamError: The body contains other data than objects and arrays, or a document is too large.
+        """
         for document in self._documents.feed(data):
             self._listener.on_document(self, document)
 
     def on_message_complete(self) -> None:
-        """End the watch with its response; called by the parser."""
+        """End the watch, as the response is complete; called by the parser."""
         self.end("response complete")
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """End the watch with its connection."""
+        """End the watch, as the connection is lost."""
         self.end(f"connection lost ({exc or 'closed'})")
 
     def end(self, reason: str) -> None:
-        """Close the connection; does nothing to a watch that has ended."""
+        """Close the connection and record why the watch ended; does nothing if it has ended already.
+
+        Args:
+            reason: The reason for the log.
+        """
         if self._timeout is not None:
             self._timeout.cancel()
         if self._transport is not None:
@@ -115,7 +138,10 @@
             self.ended.set_result(reason)
 
     def _restart_timeout(self, timeout_s: float) -> None:
-        """End the watch unless something comes in time: TCP does not notice a peer that is cut off."""
+        """Schedule the end of the watch after a timeout, and cancel the previous timeout.
+
+        TCP alone does not notice that the peer has become unreachable.
+        """
         if self._timeout is not None:
             self._timeout.cancel()
         self._timeout = self._loop.call_later(timeout_s, self.end, "timeout")
--- a/tests/integration/test_discovery_watch.py
+++ b/tests/integration/test_discovery_watch.py
@@ -1,4 +1,4 @@
-"""A discovery watch: its stream of lists, resumption, timeouts and unreadable lists."""
+"""Tests for a discovery watch: its stream of lists, resumption, timeouts and malformed lists."""
 
 from __future__ import annotations
 
@@ -23,13 +23,13 @@
 
 
 class InjectedFaultError(Exception):
-    """A fault that a test injects."""
+    """Exception that a test injects."""
 
 
 @pytest.mark.parametrize("option", [0, orjson.OPT_INDENT_2])
 @async_test
-async def test_list_in_pieces_is_read_as_soon_as_it_is_complete(option: int) -> None:
-    """Whatever its layout and the sizes of the pieces; brackets in strings do not count."""
+async def test_list_sent_in_chunks_is_read_as_soon_as_it_is_complete(option: int) -> None:
+    """Neither whitespace, nor the sizes of the chunks, nor brackets in strings affect the split."""
     async with start_peers(accept_watch) as (service,), received_lists(service) as lists:
         await wait_until(lambda: service.requests)
         member = service.list_entry(id='s-"}\\', locality="{[")
@@ -47,9 +47,9 @@
 
 
 @async_test
-async def test_incomplete_list_ends_the_watch_at_the_silence_timeout(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Empty lines after it show that the service is alive, not that the list goes on."""
-    monkeypatch.setattr(watch, "WATCH_SILENCE_TIMEOUT_S", 0.2)
+async def test_incomplete_list_ends_the_watch_at_the_idle_timeout(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Empty lines show that the service is alive, but not that it will send the rest of the list."""
+    monkeypatch.setattr(watch, "WATCH_IDLE_TIMEOUT_S", 0.2)
 
     async def script(request: Message, writer: asyncio.StreamWriter) -> None:
         if len(service.requests) > 1:
@@ -81,7 +81,7 @@
     [b"{]\n", b"nonsense\n", b"[]\n", b'{"revision":44,"members":[{"id":"s-1"}]}\n', b'{"revision":44}\n'],
 )
 @async_test
-async def test_unreadable_list_ends_the_watch_and_a_new_one_resumes(line: bytes) -> None:
+async def test_malformed_list_ends_the_watch_and_a_new_watch_resumes(line: bytes) -> None:
     async def script(request: Message, writer: asyncio.StreamWriter) -> None:
         if len(service.requests) > 1:
             writer.write(WATCH_HEAD + chunk(list_document(44)))
@@ -95,8 +95,8 @@
 
 
 @async_test
-async def test_silent_watch_is_closed_and_opened_again(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(watch, "WATCH_SILENCE_TIMEOUT_S", 0.1)
+async def test_idle_watch_is_closed_and_reopened(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(watch, "WATCH_IDLE_TIMEOUT_S", 0.1)
     async with start_peers(accept_watch) as (service,), received_lists(service):
         await wait_until(lambda: len(service.requests) > 1)
         await wait_until(lambda: service.closed)
@@ -104,7 +104,7 @@
 
 @async_test
 async def test_empty_lines_keep_the_watch_open(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(watch, "WATCH_SILENCE_TIMEOUT_S", 5.0)
+    monkeypatch.setattr(watch, "WATCH_IDLE_TIMEOUT_S", 5.0)
 
     async def script(request: Message, writer: asyncio.StreamWriter) -> None:
         writer.write(WATCH_HEAD + chunk(b"\n") + chunk(list_document(42)))
@@ -115,7 +115,7 @@
 
 
 @async_test
-async def test_error_response_is_followed_by_another_call() -> None:
+async def test_client_calls_again_after_an_error_response() -> None:
     async def script(request: Message, writer: asyncio.StreamWriter) -> None:
         if len(service.requests) == 1:
             writer.write(REJECTION)
@@ -129,7 +129,7 @@
 @async_test
 async def test_unexpected_exception_does_not_stop_the_client(monkeypatch: pytest.MonkeyPatch) -> None:
     class FaultyWatch(DiscoveryWatch):
-        """Fails the first time that it connects."""
+        """A watch that fails on its first connection."""
 
         def connection_made(self, transport: asyncio.BaseTransport) -> None:
             super().connection_made(transport)
--- a/tests/support/discovery.py
+++ b/tests/support/discovery.py
@@ -1,4 +1,4 @@
-"""Scripted discovery services, and a discovery client that watches them."""
+"""Response scripts of a discovery service, and discovery clients that watch one."""
 
 from __future__ import annotations
 
@@ -22,36 +22,36 @@
 
 
 def polled_settings(gateway_count: int, gateway_index: int = 0) -> Settings:
-    """Settings where one discovery service answers all gateways."""
+    """Settings with a polled discovery service that all gateways share."""
     return replace(
         SETTINGS, gateway_count=gateway_count, gateway_index=gateway_index, discovery_is_polled=True
     )
 
 
 def chunk(content: bytes) -> bytes:
-    """Encode one chunk of a chunked response."""
+    """Encode content as one chunk of a response with chunked transfer coding."""
     return b"%x\r\n%s\r\n" % (len(content), content)
 
 
 def list_document(revision: int, *members: dict[str, object], complete: bool = True) -> bytes:
-    """Encode an endpoint list as discovery sends it."""
+    """Encode an endpoint list in the format of the discovery service."""
     return orjson.dumps({"revision": revision, "complete": complete, "members": members}) + b"\n"
 
 
 async def send(writer: asyncio.StreamWriter, content: bytes) -> None:
-    """Send bytes and give the reader a turn of the loop."""
+    """Send bytes, then yield to the event loop so that the receiver can read them."""
     writer.write(content)
     await writer.drain()
     await asyncio.sleep(0)
 
 
 async def accept_watch(request: Message, writer: asyncio.StreamWriter) -> None:
-    """A script that accepts a watch and sends no list."""
+    """Accept a watch and send no list."""
     writer.write(WATCH_HEAD)
 
 
 async def accept_watch_without_changes(request: Message, writer: asyncio.StreamWriter) -> None:
-    """A script of an agent that responds at once and knows of no change."""
+    """Accept a watch and send a list without changes, as a local agent does when nothing has changed."""
     writer.write(WATCH_HEAD + chunk(list_document(41, complete=False)))
 
 
@@ -59,7 +59,7 @@
 async def running_client(
     service: LoopbackPeer, revision: int = 0, settings: Settings = SETTINGS
 ) -> AsyncIterator[tuple[DiscoveryClient, list[EndpointList]]]:
-    """A started client, and the lists that it receives from a service."""
+    """Run a client of a service; yields the client and the lists that it has received so far."""
     lists: list[EndpointList] = []
     client = DiscoveryClient(("127.0.0.1", service.port), revision, lists.append, settings)
     client.start()
@@ -73,6 +73,6 @@
 async def received_lists(
     service: LoopbackPeer, revision: int = 0, settings: Settings = SETTINGS
 ) -> AsyncIterator[list[EndpointList]]:
-    """The lists that a started client receives from a service."""
+    """Run a client of a service; yields the lists that it has received so far."""
     async with running_client(service, revision, settings) as (_, lists):
         yield lists
--- a/tests/unit/test_endpoint_list.py
+++ b/tests/unit/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""Reading of endpoint lists."""
+"""Tests for the decoding of endpoint lists."""
 
 from __future__ import annotations
 
