--- a/http_gateway/net/config_reload.py
+++ b/http_gateway/net/config_reload.py
@@ -1,4 +1,4 @@
-"""Reloads the configuration of a running gateway."""
+"""Reload of the configuration in a running gateway."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 
 class ConfigReloader:
-    """Takes over the address of discovery from a configuration file that has changed.
+    """Applies a changed discovery address from the configuration file.
 
-    All other changes need a restart. A file that cannot be read or used changes nothing.
+    All other changes need a restart. A file that cannot be read or is invalid changes nothing.
 
     Args:
-        config: The configuration in force.
-        discovery: The client to move to another address.
-        environment: The variables, which name the file.
+        config: The current configuration.
+        discovery: The discovery client, which is switched to the new address.
+        environment: The environment variables, which name the file.
     """
 
     def __init__(
@@ -31,24 +31,25 @@
         self._environment = environment
 
     def reload(self) -> None:
-        """Read the file again, and move discovery if its address has changed."""
+        """Read the file again, and switch to another discovery service if the address has changed."""
         try:
             loaded = reload_config(self._environment)
         except ConfigError as error:
             log.error('reload failed reason="%s"', error)
             return
-        self._move_discovery(loaded)
+        self._apply_discovery_address(loaded)
         self._warn_about_ignored_changes(loaded)
 
-    def _move_discovery(self, loaded: GatewayConfig) -> None:
+    def _apply_discovery_address(self, loaded: GatewayConfig) -> None:
         if loaded.discovery_address == self._config.discovery_address:
             return
         self._config = replace(self._config, discovery_address=loaded.discovery_address)
-        log.info("reload moves discovery address=%s:%d", *loaded.discovery_address)
-        self._discovery.move_to(loaded.discovery_address)
+        log.info("reload switched discovery address=%s:%d", *loaded.discovery_address)
+        self._discovery.switch_to(loaded.discovery_address)
 
     def _warn_about_ignored_changes(self, loaded: GatewayConfig) -> None:
-        # Seed and cached list differ in every file, and matter at a start only.
+        # The seed and the cached list differ in every file and are used at startup only, so that a difference
+        # between them needs no warning.
         comparable = replace(loaded, seed=self._config.seed, cached_list=self._config.cached_list)
         if comparable != self._config:
             log.warning("reload ignored changes that need a restart")
--- a/http_gateway/net/discovery/client.py
+++ b/http_gateway/net/discovery/client.py
@@ -1,4 +1,4 @@
-"""The discovery client: one session at a time, with the service that the configuration names."""
+"""The discovery client, which has one session at a time with the configured discovery service."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 
 
 class DiscoveryClient:
-    """Keeps the endpoint list up to date; owns the task that does so.
+    """Keeps the endpoint list up to date, in a task that it owns.
 
     Args:
-        address: Where the discovery service listens.
-        revision: The revision of the list in force, from which the first watch resumes.
-        on_list: Called with each list that the service sends.
-        settings: How discovery works.
+        address: The address of the discovery service.
+        revision: The revision of the current endpoint list, from which the first watch resumes.
+        on_list: Callback for each list that the service sends.
+        settings: The settings of the gateway, which say how it uses discovery.
 
     Attributes:
-        first_list_received: Set when a list has come, or the service has rejected a call and sends none
-            soon.
+        service_responded: Set once the service has sent a list or rejected a call. After a rejection no list
+            can be expected soon, so that waiting longer for one is useless.
     """
 
     def __init__(
@@ -38,22 +38,28 @@
         self._settings = settings
         self._random = Random()
         self._tasks: set[asyncio.Task[None]] = set()
-        self.first_list_received = asyncio.Event()
+        self.service_responded = asyncio.Event()
         self._session = self._new_session(address, revision)
 
     def start(self) -> None:
-        """Start to watch the service."""
+        """Start to watch the discovery service."""
         task = asyncio.get_running_loop().create_task(self._session.run())
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     def stop(self) -> None:
-        """End the watch and all calls."""
+        """Cancel the watch and all pending calls."""
         for task in self._tasks:
             task.cancel()
 
-    def move_to(self, address: Address) -> None:
-        """Watch another service, from its complete list on; the list in force stays until that comes."""
+    def switch_to(self, address: Address) -> None:
+        """Watch another service, starting with its complete list.
+
+        The current endpoint list stays in use until that list arrives.
+
+        Args:
+            address: The address of the other service.
+        """
         self.stop()
         self._session.close()
         self._session = self._new_session(address, revision=0)
@@ -61,4 +67,4 @@
 
     def _new_session(self, address: Address, revision: int) -> DiscoverySession:
         schedule = PollSchedule(self._settings, self._random)
-        return DiscoverySession(address, revision, schedule, self._on_list, self.first_list_received)
+        return DiscoverySession(address, revision, schedule, self._on_list, self.service_responded)
--- a/http_gateway/net/discovery/poll_schedule.py
+++ b/http_gateway/net/discovery/poll_schedule.py
@@ -1,4 +1,4 @@
-"""When the next call to a discovery service is due."""
+"""Timing of the calls to a discovery service."""
 
 from __future__ import annotations
 
@@ -7,29 +7,31 @@
 from http_gateway.policy.settings import Settings
 from http_gateway.policy.time_units import US_PER_S
 
-# An agent on this machine answers at once or not at all, and its changes count from the moment it has them:
-# several calls fit into the drain grace.
-RETRY_DELAY_FRACTION = 0.2  # of the drain grace
+# A local discovery agent responds at once or not at all, and the gateway is deemed notified of a change as
+# soon as the agent has it. The delay is short enough for several calls within the drain grace period.
+RETRY_DELAY_FRACTION = 0.2  # of the drain grace period
 MIN_RETRY_DELAY_S = 0.02
 MAX_RETRY_DELAY_S = 0.5
 
-# Changes count as received after 6 s: a round leaves one second of that for the response.
-POLL_ROUND_S = 5.0
-MAX_POLL_ROUNDS = 16
-PROMPT_REJECTION_S = 0.5  # a rejection within this time means overload; a later one, an outage
+# The gateway is deemed notified of a change after 6 s. This interval leaves 1 s of that for the response.
+POLL_INTERVAL_S = 5.0
+MAX_BACKOFF_INTERVALS = 16
+# A service that rejects a call within this time is overloaded; a later rejection is a sign of an outage.
+PROMPT_REJECTION_S = 0.5
 
 
 class PollSchedule:
-    """The schedule of calls to one discovery service.
+    """Decides when to make the next call to one discovery service.
 
-    Where an agent on this machine pushes lists, calls follow each other at a short fixed delay. Where one
-    service answers all gateways, each gateway calls once a round, in a poll slot of its own: this spreads the
-    calls evenly. A service that rejects a call promptly is overloaded: each prompt rejection doubles the
-    number of rounds of which this gateway calls in one, chosen at random.
+    A local agent that pushes lists serves only this gateway: calls to it follow each other at a short fixed
+    delay. A shared service serves all gateways. Each gateway calls it once per poll interval, at an offset of
+    its own (its poll slot), so that the calls are spread evenly. A shared service that rejects a call
+    promptly is overloaded. Each prompt rejection doubles the number of poll intervals from which the gateway
+    picks one at random for its next call.
 
     Args:
-        settings: How discovery works, and this gateway's index among the gateways.
-        random: Generator that chooses the round.
+        settings: The settings of the gateway, with the kind of discovery and the index of this gateway.
+        random: Random number generator that picks the poll interval.
     """
 
     def __init__(self, settings: Settings, random: Random) -> None:
@@ -39,49 +41,49 @@
         self._retry_delay_s = min(
             MAX_RETRY_DELAY_S, max(MIN_RETRY_DELAY_S, RETRY_DELAY_FRACTION * drain_grace_s)
         )
-        self._slot_s = POLL_ROUND_S * settings.gateway_index / settings.gateway_count
+        self._slot_offset_s = POLL_INTERVAL_S * settings.gateway_index / settings.gateway_count
         self._random = random
-        self._round_count = 1
+        self._backoff_intervals = 1
 
     @property
     def is_shared(self) -> bool:
-        """Whether one service answers all gateways: it is polled, or it has rejected a call."""
+        """Whether all gateways share the service: the settings say so, or it has rejected a call."""
         return self._is_shared
 
     @property
-    def round_count(self) -> int:
-        """Number of rounds of which this gateway calls in one."""
-        return self._round_count
+    def backoff_intervals(self) -> int:
+        """Number of poll intervals from which the next call picks one at random."""
+        return self._backoff_intervals
 
     @property
     def overlap_delay_s(self) -> float | None:
-        """Seconds after which a call starts beside an unanswered one; None if calls must not overlap."""
+        """Delay before another call while one is unanswered, in seconds; None if calls must not overlap."""
         return None if self._is_shared else self._retry_delay_s
 
     def next_delay_s(self, now_s: float) -> float:
-        """Return the seconds until the next call.
+        """Return the delay before the next call, in seconds.
 
         Args:
-            now_s: Unix time in seconds: all gateways derive their slots from it.
+            now_s: The current Unix time in seconds, from which all gateways derive their poll slots.
         """
         if not self._is_shared:
             return self._retry_delay_s
-        until_slot_s = (self._slot_s - now_s) % POLL_ROUND_S
-        return until_slot_s + POLL_ROUND_S * self._random.randrange(self._round_count)
+        until_slot_s = (self._slot_offset_s - now_s) % POLL_INTERVAL_S
+        return until_slot_s + POLL_INTERVAL_S * self._random.randrange(self._backoff_intervals)
 
     def on_rejected(self, after_s: float) -> None:
-        """Slow down after a rejected call.
+        """Adapt the schedule to a rejected call.
 
-        An agent of this gateway alone never rejects a call, so the service is shared.
+        A local agent never rejects a call, so a service that does is treated as shared.
 
         Args:
             after_s: Seconds from the request to the rejection.
         """
         self._is_shared = True
         if after_s < PROMPT_REJECTION_S:
-            self._round_count = min(2 * self._round_count, MAX_POLL_ROUNDS)
+            self._backoff_intervals = min(2 * self._backoff_intervals, MAX_BACKOFF_INTERVALS)
 
     def on_list_received(self) -> None:
-        """Return to the schedule that the settings call for."""
+        """Return to the schedule that the settings prescribe, after the service has sent a list."""
         self._is_shared = self._is_polled
-        self._round_count = 1
+        self._backoff_intervals = 1
--- a/http_gateway/service.py
+++ b/http_gateway/service.py
@@ -1,4 +1,4 @@
-"""The gateway as a program: start, signals, graceful shutdown and exit."""
+"""The gateway process: startup, signal handling, graceful shutdown and exit codes."""
 
 from __future__ import annotations
 
@@ -24,10 +24,13 @@
 
 log = logging.getLogger(__name__)
 
-RESERVED_DESCRIPTORS = 32  # for everything but connections of clients and to endpoints
-ACCEPT_AFTER_SIGTERM_S = 0.5  # clients still connect for this long
-# The cached list may name endpoints that are draining or removed. The wait outlasts a short outage of
-# discovery, and leaves 1.5 s of the 10 s within which a restarted gateway has to be ready.
+# File descriptors that are kept free for everything but client and endpoint connections.
+RESERVED_DESCRIPTORS = 32
+# Clients still open connections for this long after SIGTERM, so the gateway goes on accepting them.
+ACCEPT_AFTER_SIGTERM_S = 0.5
+# At startup the gateway waits this long for the first endpoint list, because the cached list may name
+# endpoints that are draining or removed. The wait outlasts a short outage of discovery. It leaves 1.5 s of
+# the 10 s within which a restarted gateway must be ready.
 FIRST_LIST_TIMEOUT_S = 8.5
 DRAIN_CHECK_INTERVAL_S = 0.01
 
@@ -38,10 +41,10 @@
 
 
 class GatewayService:
-    """One gateway from its start to its exit. Needs a running event loop.
+    """Runs one gateway from startup to exit; must be created in a running event loop.
 
     Args:
-        config: The configuration to start with.
+        config: The configuration at startup.
     """
 
     def __init__(self, config: GatewayConfig) -> None:
@@ -63,16 +66,17 @@
         self._stop_requested = asyncio.Event()
 
     async def run(self, early_reloads: Sequence[int]) -> None:
-        """Serve until SIGTERM or SIGINT.
+        """Serve requests until SIGTERM or SIGINT, then shut down gracefully.
 
         Args:
-            early_reloads: SIGHUPs that came after the configuration was read, and before this.
+            early_reloads: Numbers of the SIGHUP signals received since the process started. The configuration
+                is read again if there are any, as the file may have changed since it was read.
 
         Raises:
-            ConfigError: The gateway cannot listen on its address.
+            ConfigError: The gateway cannot listen on the configured address.
         """
-        for number in _STOP_SIGNALS:
-            self._loop.add_signal_handler(number, self._stop_requested.set)
+        for signal_number in _STOP_SIGNALS:
+            self._loop.add_signal_handler(signal_number, self._stop_requested.set)
         listener = self._bind()
         self._discovery.start()
         try:
@@ -98,24 +102,29 @@
             self._reloader.reload()
 
     async def _wait_for_first_list(self) -> None:
-        """Wait for the agent on this machine, which responds at once; other services may take long."""
+        """Wait until discovery responds, stop is requested or the timeout expires.
+
+        Only a local agent that pushes lists is waited for, as it responds at once. A polled service may take
+        several seconds, so the gateway starts with the cached list instead.
+        """
         if self._config.settings.discovery_is_polled:
             return
-        first_list_received = self._discovery.first_list_received
-        await _wait_for_any(FIRST_LIST_TIMEOUT_S, first_list_received, self._stop_requested)
-        if not first_list_received.is_set():
+        service_responded = self._discovery.service_responded
+        await _wait_for_any(FIRST_LIST_TIMEOUT_S, service_responded, self._stop_requested)
+        if not service_responded.is_set():
             log.warning("discovery has not responded, using the cached endpoint list")
 
     async def _listen(self, listener: socket.socket) -> None:
         port = await self._frontend.listen(listener)
         self._lag_monitor.start()
-        # Objects that exist now stay: without them, collections do not delay the loop.
+        # Objects created during startup live until exit. Excluding them from garbage collection keeps later
+        # collections short, so that these do not delay the event loop.
         gc.collect()
         gc.freeze()
         log.info("listening name=%s address=%s:%d", self._config.name, self._config.listen_address[0], port)
 
     async def _shut_down(self) -> None:
-        """Go on accepting for a moment, then answer what has been accepted."""
+        """Accept connections for a short time, then stop listening and answer the requests received."""
         log.info("shutdown started unanswered_requests=%d", self._dispatcher.unanswered_count)
         longest_timeout_us = max(request_class.timeout_us for request_class in self._config.settings.classes)
         deadline_at_s = self._loop.time() + ACCEPT_AFTER_SIGTERM_S + longest_timeout_us / US_PER_S
@@ -126,7 +135,11 @@
         await self._wait_for_connections(deadline_at_s)
 
     async def _wait_for_connections(self, deadline_at_s: float) -> None:
-        """Wait until every connection has closed after its response; a client may fail to read it."""
+        """Wait until all client connections are closed, or until the deadline.
+
+        A connection closes after its response; the deadline limits the wait for clients that do not read
+        theirs.
+        """
         try:
             async with asyncio.timeout_at(deadline_at_s):
                 while self._frontend.connections:
@@ -139,27 +152,31 @@
     """Run a gateway until SIGTERM or SIGINT.
 
     Args:
-        config: The configuration to start with.
-        early_reloads: SIGHUPs that came after the configuration was read.
+        config: The configuration at startup.
+        early_reloads: Numbers of the SIGHUP signals received since the process started.
 
     Raises:
-        ConfigError: The gateway cannot listen on its address.
+        ConfigError: The gateway cannot listen on the configured address.
     """
     await GatewayService(config).run(early_reloads)
 
 
 async def _wait_for_any(timeout_s: float, *events: asyncio.Event) -> None:
-    """Wait until one of the events is set, or the time is over."""
-    waits = [asyncio.create_task(event.wait()) for event in events]
+    """Wait until at least one of the events is set, or until the timeout expires."""
+    tasks = [asyncio.create_task(event.wait()) for event in events]
     try:
-        await asyncio.wait(waits, timeout=timeout_s, return_when=asyncio.FIRST_COMPLETED)
+        await asyncio.wait(tasks, timeout=timeout_s, return_when=asyncio.FIRST_COMPLETED)
     finally:
-        for wait in waits:
-            wait.cancel()
+        for task in tasks:
+            task.cancel()
 
 
 async def _serve_until_exit(config: GatewayConfig, early_reloads: Sequence[int]) -> None:
-    """Serve, then block signals: without handlers they would end the process as if it had crashed."""
+    """Run the gateway, then block further signals.
+
+    The event loop removes its signal handlers as it closes. A later signal would kill the process with a
+    status other than 0, which looks like a crash.
+    """
     try:
         await serve(config, early_reloads)
     finally:
@@ -178,10 +195,12 @@
 
 
 def main() -> int:
-    """Run the gateway that the environment configures; return the exit code."""
+    """Run the gateway that the environment variables configure, and return the exit code."""
     _set_up_logging()
-    early_reloads: list[int] = []  # until the loop handles it, a SIGHUP would end the process
-    signal.signal(signal.SIGHUP, lambda number, _: early_reloads.append(number))
+    # SIGHUP ends a process without a handler. Until the event loop handles it, each signal is recorded here
+    # for a later reload.
+    early_reloads: list[int] = []
+    signal.signal(signal.SIGHUP, lambda signal_number, _: early_reloads.append(signal_number))
     try:
         asyncio.run(_serve_until_exit(load_config(os.environ), early_reloads))
     except ConfigError as error:
--- a/tests/integration/test_discovery_client.py
+++ b/tests/integration/test_discovery_client.py
@@ -1,4 +1,4 @@
-"""The discovery client: concurrent calls, poll slots, retries and moves to another service."""
+"""Tests for the discovery client: concurrent calls, poll slots, retries and switches of the service."""
 
 from __future__ import annotations
 
@@ -36,11 +36,11 @@
 )
 
 
-@pytest.mark.parametrize("moves", [False, True])
+@pytest.mark.parametrize("switches", [False, True])
 @async_test
-async def test_first_poll_waits_for_the_slot(monkeypatch: pytest.MonkeyPatch, moves: bool) -> None:
-    """Gateways that are all killed at once, or all moved to another service, would call in one moment."""
-    monkeypatch.setattr(poll_schedule, "POLL_ROUND_S", 0.4)
+async def test_first_poll_waits_for_the_poll_slot(monkeypatch: pytest.MonkeyPatch, switches: bool) -> None:
+    """Guards against simultaneous calls of gateways that restart or switch to another service together."""
+    monkeypatch.setattr(poll_schedule, "POLL_INTERVAL_S", 0.4)
     monkeypatch.setattr("time.time", lambda: 0.0)
     async with start_peers(accept_watch) as (service,):
         loop = asyncio.get_running_loop()
@@ -48,8 +48,8 @@
         address = ("127.0.0.1", service.port)
         client = DiscoveryClient(address, 0, lists.append, polled_settings(4, gateway_index=3))
         started_at_s = loop.time()
-        if moves:
-            client.move_to(address)
+        if switches:
+            client.switch_to(address)
         else:
             client.start()
         await wait_until(lambda: service.requests)
@@ -58,17 +58,18 @@
 
 
 @async_test
-async def test_broken_watch_on_an_agent_is_open_again_within_the_drain_grace(
+async def test_broken_watch_on_a_local_agent_is_reopened_within_the_drain_grace_period(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The delay must not grow with the number of gateways: draining endpoints would still get requests.
+    """Guards against a retry delay that grows with the number of gateways.
 
-    An agent on this machine responds at once, and its changes count as received.
+    With a local agent, the gateway is deemed notified of a change at once. After a longer delay it would send
+    requests to draining endpoints beyond the drain grace period.
     """
     delays_s: list[float] = []
 
     class RecordingSchedule(PollSchedule):
-        """Records every delay."""
+        """A schedule that records each delay."""
 
         def next_delay_s(self, now_s: float) -> float:
             delays_s.append(super().next_delay_s(now_s))
@@ -88,8 +89,11 @@
 
 
 @async_test
-async def test_unanswered_call_to_an_agent_does_not_delay_the_next() -> None:
-    """The agent may be back while that call stays unanswered, and its changes count as received at once."""
+async def test_unanswered_call_to_a_local_agent_does_not_delay_the_next_call() -> None:
+    """The agent may be running again while an earlier call stays unanswered.
+
+    The gateway is then deemed notified of a change as soon as the agent has it.
+    """
 
     async def script(request: Message, writer: asyncio.StreamWriter) -> None:
         if len(service.requests) == 3:
@@ -100,30 +104,31 @@
     async with start_peers(script) as (service,):
         async with received_lists(service, 41, PUSHED_SETTINGS) as lists:
             await wait_until(lambda: lists)
-            await wait_until(lambda: service.closed == 2)  # the unanswered ones
+            await wait_until(lambda: service.closed == 2)  # both unanswered calls
         assert closed_counts == [0]
 
 
 async def wait_for_requests(peer: LoopbackPeer, count: int) -> None:
-    """Wait until a peer has received so many requests."""
+    """Wait until a peer has received at least `count` requests."""
     await wait_until(lambda: len(peer.requests) >= count)
 
 
 @async_test
-async def test_silent_agent_is_called_on_few_connections() -> None:
+async def test_unresponsive_agent_gets_a_limited_number_of_connections() -> None:
     async with start_peers(never_respond) as (service,):
-        most = 0
+        max_open = 0
         async with received_lists(service, 41, PUSHED_SETTINGS):
             for count in range(3 * session.MAX_CONCURRENT_CALLS):
                 await wait_for_requests(service, count + 1)
-                most = max(most, service.connections - service.closed)
+                max_open = max(max_open, service.connections - service.closed)
         await wait_until(lambda: service.connections == service.closed)
-        assert most <= session.MAX_CONCURRENT_CALLS + 1  # the close of the cancelled one may come later
+        # The service may see the close of a cancelled call only after the next call.
+        assert max_open <= session.MAX_CONCURRENT_CALLS + 1
 
 
 @async_test
 async def test_only_the_first_of_two_accepted_watches_is_used() -> None:
-    """Both responses are ready in one turn of the loop; the second is older than the list of the first."""
+    """Two calls are accepted in the same iteration of the event loop, one of them with an older list."""
     async with (
         start_peers(never_respond) as (service,),
         received_lists(service, 41, PUSHED_SETTINGS) as lists,
@@ -140,14 +145,14 @@
 
 @pytest.mark.parametrize("revision", [41, 0])
 @async_test
-async def test_list_of_the_previous_service_is_ignored_after_a_move(
+async def test_list_of_the_previous_service_is_ignored_after_a_switch(
     monkeypatch: pytest.MonkeyPatch, revision: int
 ) -> None:
-    """It is ready as the client moves; its revision would mean nothing to the new service."""
+    """A received list is still unread at the switch; the new service does not know its revision."""
     watches: list[tuple[DiscoveryWatch, asyncio.BaseTransport]] = []
 
     class RecordedWatch(DiscoveryWatch):
-        """Records its transport."""
+        """A watch that records its transport."""
 
         def connection_made(self, transport: asyncio.BaseTransport) -> None:
             super().connection_made(transport)
@@ -163,9 +168,9 @@
     ):
         await wait_until(accepted_transports)
         old.writers[0].write(chunk(list_document(57)))
-        # The list has arrived, and has not been read.
+        # Wait until the list has arrived. The client has not read it yet, as the event loop is blocked.
         select.select([accepted_transports()[0].get_extra_info("socket")], [], [])
-        client.move_to(("127.0.0.1", new.port))
+        client.switch_to(("127.0.0.1", new.port))
         await wait_until(lambda: new.requests and old.closed)
         assert new.requests[0].target.endswith(b"from=0")
         assert not lists
@@ -175,37 +180,37 @@
 
 
 @async_test
-async def test_moves_in_quick_succession_end_at_the_last_service() -> None:
-    """The client moves on before the connection to the service between is made, or as soon as it is."""
+async def test_switches_in_quick_succession_end_at_the_last_service() -> None:
+    """The client leaves an intermediate service before, or just as, the connection to it is established."""
     async with (
-        start_peers(accept_watch, accept_watch, accept_watch) as (old, between, new),
+        start_peers(accept_watch, accept_watch, accept_watch) as (old, intermediate, new),
         running_client(old, 41, PUSHED_SETTINGS) as (client, lists),
     ):
         await wait_until(lambda: old.requests)
-        client.move_to(("127.0.0.1", between.port))
-        client.move_to(("127.0.0.1", old.port))
-        client.move_to(("127.0.0.1", between.port))
-        await asyncio.sleep(0)  # it connects
-        client.move_to(("127.0.0.1", new.port))
+        client.switch_to(("127.0.0.1", intermediate.port))
+        client.switch_to(("127.0.0.1", old.port))
+        client.switch_to(("127.0.0.1", intermediate.port))
+        await asyncio.sleep(0)  # lets the client start to connect
+        client.switch_to(("127.0.0.1", new.port))
         await wait_until(lambda: new.requests and old.closed)
         new.writers[0].write(chunk(list_document(3)))
         await wait_until(lambda: lists)
-        await wait_until(lambda: between.connections == between.closed)
-        assert not between.requests
+        await wait_until(lambda: intermediate.connections == intermediate.closed)
+        assert not intermediate.requests
 
 
 @async_test
-async def test_rejected_call_puts_the_client_on_poll_slots_until_the_next_list(
+async def test_rejected_call_makes_the_client_use_poll_slots_until_the_next_list(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """An agent of one gateway rejects no call; frequent calls would keep a shared service overloaded."""
+    """Only a shared service rejects calls, and frequent calls would keep it overloaded."""
     states: list[tuple[bool, int]] = []
 
     class RecordingSchedule(PollSchedule):
-        """Records its state, and never delays a call."""
+        """A schedule that records its state and never delays a call."""
 
         def next_delay_s(self, now_s: float) -> float:
-            states.append((self.is_shared, self.round_count))
+            states.append((self.is_shared, self.backoff_intervals))
             return 0.0
 
     async def script(request: Message, writer: asyncio.StreamWriter) -> None:
@@ -223,6 +228,6 @@
         running_client(service, 41, PUSHED_SETTINGS) as (client, _),
     ):
         await wait_until(lambda: len(service.requests) == 3)
-        assert client.first_list_received.is_set()
+        assert client.service_responded.is_set()
         assert [is_shared for is_shared, _ in states] == [True, False]
         assert states[1] == (False, 1)
--- a/tests/unit/test_poll_schedule.py
+++ b/tests/unit/test_poll_schedule.py
@@ -1,4 +1,4 @@
-"""The schedule of calls to a discovery service."""
+"""Tests for the schedule of calls to a discovery service."""
 
 from __future__ import annotations
 
@@ -7,12 +7,18 @@
 
 import pytest
 
-from http_gateway.net.discovery.poll_schedule import MAX_POLL_ROUNDS, POLL_ROUND_S, PollSchedule
+from http_gateway.net.discovery.poll_schedule import MAX_BACKOFF_INTERVALS, POLL_INTERVAL_S, PollSchedule
 from tests.support.discovery import PUSHED_SETTINGS, polled_settings
 
 
 def poll_times_s(gateway_count: int, now_s: float, rejections: int = 0) -> list[float]:
-    """When each gateway calls next, by the clock that all machines share."""
+    """Return the Unix time of the next call of each gateway.
+
+    Args:
+        gateway_count: The number of gateways.
+        now_s: The current Unix time in seconds.
+        rejections: The number of prompt rejections that each gateway has received before.
+    """
     times_s = []
     for gateway_index in range(gateway_count):
         schedule = PollSchedule(polled_settings(gateway_count, gateway_index), Random())
@@ -24,43 +30,45 @@
 
 @pytest.mark.parametrize("now_s", [1_800_000_000.0, 1_800_000_003.21])
 @pytest.mark.parametrize("gateway_count", [3, 40, 230, 1024])
-def test_gateways_poll_once_a_round_in_distinct_slots(gateway_count: int, now_s: float) -> None:
-    """Changes count as received 6 s after discovery can be reached; called by all at once it answers nobody.
+def test_gateways_poll_once_per_interval_in_distinct_slots(gateway_count: int, now_s: float) -> None:
+    """Guards against simultaneous calls of all gateways, which overload the discovery service.
 
-    On the bench it answered the calls of its whole fleet in 3 to 8 s, at 60 gateways as at 200.
+    A gateway is deemed notified of a change 6 s after discovery becomes reachable. A service that all
+    gateways call at once answers none of them in time. On the test bench it took 3 to 8 s, with 60 gateways
+    as with 200.
     """
     times_s = sorted(poll_times_s(gateway_count, now_s))
-    assert times_s[-1] < now_s + POLL_ROUND_S <= now_s + 5
+    assert times_s[-1] < now_s + POLL_INTERVAL_S <= now_s + 5
     gaps_s = [after - before for before, after in itertools.pairwise(times_s)]
-    assert min(gaps_s) > 0.99 * POLL_ROUND_S / gateway_count
+    assert min(gaps_s) > 0.99 * POLL_INTERVAL_S / gateway_count
 
 
-def test_promptly_rejected_gateways_spread_their_polls_over_several_rounds() -> None:
-    """The service cannot answer the calls of one round, so each gateway calls in one of several."""
-    rejections = MAX_POLL_ROUNDS.bit_length()  # enough to reach the maximum
+def test_promptly_rejected_gateways_spread_their_polls_over_several_intervals() -> None:
+    """A service that rejects calls promptly cannot answer all gateways within one poll interval."""
+    rejections = MAX_BACKOFF_INTERVALS.bit_length()  # enough to reach the maximum backoff
     times_s = poll_times_s(230, 0.0, rejections)
-    starts_s = [index * POLL_ROUND_S for index in range(MAX_POLL_ROUNDS)]
-    most = max(sum(start <= time < start + POLL_ROUND_S for time in times_s) for start in starts_s)
-    assert most < 3 * 230 / MAX_POLL_ROUNDS
+    starts_s = [index * POLL_INTERVAL_S for index in range(MAX_BACKOFF_INTERVALS)]
+    max_polls = max(sum(start <= time < start + POLL_INTERVAL_S for time in times_s) for start in starts_s)
+    assert max_polls < 3 * 230 / MAX_BACKOFF_INTERVALS
 
 
-def test_only_prompt_rejections_increase_the_number_of_rounds() -> None:
-    """While discovery is down a call waits long; once it is back, all gateways poll within one round."""
+def test_only_prompt_rejections_increase_the_backoff() -> None:
+    """A late rejection is a sign of an outage, after which all gateways poll within one interval."""
     schedule = PollSchedule(polled_settings(230), Random())
-    round_counts = []
+    observed_intervals = []
     for after_s in (2.0, 0.003, 0.003, 2.0):
         schedule.on_rejected(after_s)
-        round_counts.append(schedule.round_count)
-    assert round_counts == [1, 2, 4, 4]
+        observed_intervals.append(schedule.backoff_intervals)
+    assert observed_intervals == [1, 2, 4, 4]
     schedule.on_list_received()
-    assert schedule.round_count == 1
+    assert schedule.backoff_intervals == 1
 
 
-def test_calls_to_an_agent_do_not_depend_on_the_slot_until_one_is_rejected() -> None:
+def test_calls_to_a_local_agent_ignore_the_poll_slot_until_one_is_rejected() -> None:
     schedule = PollSchedule(PUSHED_SETTINGS, Random())
     assert schedule.next_delay_s(0.0) == schedule.next_delay_s(1.7) == schedule.overlap_delay_s
     schedule.on_rejected(after_s=2.0)
     assert schedule.overlap_delay_s is None
-    assert schedule.next_delay_s(1.0) == POLL_ROUND_S - 1.0
+    assert schedule.next_delay_s(1.0) == POLL_INTERVAL_S - 1.0
     schedule.on_list_received()
     assert schedule.next_delay_s(1.0) == schedule.overlap_delay_s
