--- a/tests/integration/test_reload.py
+++ b/tests/integration/test_reload.py
@@ -1,4 +1,4 @@
-"""Reload of the configuration on SIGHUP."""
+"""Tests for the reload of the configuration on SIGHUP."""
 
 from __future__ import annotations
 
@@ -31,8 +31,8 @@
 
 
 @async_test
-async def test_sighup_moves_the_watch_to_the_discovery_address_of_the_new_file(tmp_path: Path) -> None:
-    """The old list is used until the new service sends its own, though a variable names the old service."""
+async def test_sighup_switches_to_the_discovery_address_of_the_new_file(tmp_path: Path) -> None:
+    """The file overrides PROXY_DISCOVERY; the old list is used until the new service sends its own."""
     async with (
         start_peers(
             respond_with(body=b"cached"),
@@ -55,7 +55,7 @@
         async with asyncio.timeout(TEST_TIMEOUT_S):
             while (await client.request()).body != b"listed":
                 await asyncio.sleep(0.01)
-        process.send_signal(signal.SIGHUP)  # nothing is new
+        process.send_signal(signal.SIGHUP)  # the file has not changed since the last reload
         process.send_signal(signal.SIGTERM)
         await next_log_line(process, "shutdown started")
         process.send_signal(signal.SIGHUP)
@@ -106,7 +106,7 @@
 
 @async_test
 async def test_sighup_between_reading_the_file_and_installing_the_handler_is_not_lost(tmp_path: Path) -> None:
-    """The file may have changed since it was read."""
+    """Guards against a lost reload: the file may change after it was read, before the event loop runs."""
     async with start_peers(respond_with(), accept_watch_without_changes, accept_watch_without_changes) as (
         endpoint,
         old,
--- a/tests/integration/test_service_limits.py
+++ b/tests/integration/test_service_limits.py
@@ -1,4 +1,4 @@
-"""The program at its limits: descriptors, large lists, malformed files and lists."""
+"""Tests for the limits of the gateway process: descriptors, large lists, malformed files and lists."""
 
 from __future__ import annotations
 
@@ -44,11 +44,11 @@
 )
 
 MAX_DESCRIPTORS = 128
-LARGE_COUNT = 1024  # of endpoints, and of gateways
+LARGE_COUNT = 1024  # number of endpoints and of gateways
 
 
 def connect_idle_clients(port: int, count: int) -> list[socket.socket]:
-    """Connect so many clients that send nothing."""
+    """Connect `count` clients that send nothing."""
     clients = [socket.socket() for _ in range(count)]
     for client in clients:
         client.setblocking(False)
@@ -62,7 +62,10 @@
 async def test_idle_clients_leave_descriptors_for_discovery_and_requests(
     tmp_path: Path, configured: int
 ) -> None:
-    """They use all descriptors while discovery is down; the system may allow fewer than the file says."""
+    """Guards against idle clients that take all file descriptors while discovery is down.
+
+    The limit of the system may be lower than the configured limit.
+    """
     limits = {"cores": 1.0, "memory_mb": 192, "sockets": configured}
 
     async def send_list(request: Message, writer: asyncio.StreamWriter) -> None:
@@ -97,8 +100,8 @@
 
 
 @async_test
-async def test_restarted_gateway_is_ready_within_ten_seconds_if_the_agent_is_silent(tmp_path: Path) -> None:
-    """The start itself may take a second and a half on a busy machine."""
+async def test_gateway_is_ready_within_ten_seconds_if_the_agent_does_not_respond(tmp_path: Path) -> None:
+    """Startup alone may take 1.5 s on a busy machine, which leaves 8.5 s to wait for discovery."""
     async with start_peers(respond_with(), never_respond) as (endpoint, discovery):
         started_at_s = time.monotonic()
         port = free_port()
@@ -111,14 +114,14 @@
 
 
 def many_entries(endpoint: LoopbackPeer, count: int = LARGE_COUNT) -> list[dict[str, Any]]:
-    """The entries of one endpoint that is ready, and of many that drain."""
+    """Return list entries for one ready endpoint and `count - 1` draining endpoints."""
     draining = [endpoint.list_entry("Terminating", id=f"s-{number:08x}") for number in range(count - 1)]
     return [endpoint.list_entry(id="s-ready"), *draining]
 
 
 @pytest.mark.parametrize("is_polled", [False, True])
 @async_test
-async def test_list_of_many_endpoints_is_cached_updated_and_received_again(
+async def test_large_list_is_accepted_from_the_cache_as_an_update_and_after_a_switch(
     tmp_path: Path, is_polled: bool
 ) -> None:
     watch_writers: list[asyncio.StreamWriter] = []
@@ -144,7 +147,7 @@
             changes += [endpoint.list_entry("Gone", id=entry["id"]) for entry in many_entries(endpoint)[1:]]
             watch_writers[0].write(chunk(list_document(60, *changes, complete=False)))
             await wait_for_body(port, b"new")
-            # The other service sends the first list.
+            # The other service still sends the original list, in which `s-ready` is ready.
             document = config_document(other_discovery.port, *many_entries(endpoint), settings=settings)
             write_config(tmp_path, document)
             process.send_signal(signal.SIGHUP)
@@ -154,7 +157,7 @@
 
 
 async def wait_for_body(port: int, body: bytes) -> None:
-    """Send requests until one gets a response with this body."""
+    """Send requests until a response has the given body."""
     async with asyncio.timeout(20):
         while await response_body(port) != body:
             await asyncio.sleep(0.02)
@@ -172,8 +175,8 @@
 
 @pytest.mark.parametrize("malformation", list(MALFORMATIONS))
 @async_test
-async def test_malformed_list_leaves_the_last_one_in_force(tmp_path: Path, malformation: str) -> None:
-    """It is logged in one plain line, and the watch is opened again."""
+async def test_malformed_list_leaves_the_current_list_in_use(tmp_path: Path, malformation: str) -> None:
+    """A malformed list is logged in one line without a traceback, and the watch is reopened."""
 
     async def script(request: Message, writer: asyncio.StreamWriter) -> None:
         if len(discovery.requests) != 2:
@@ -216,8 +219,8 @@
     ids=["truncated", "unclosed nesting", "number out of range", "too large"],
 )
 @async_test
-async def test_malformed_file_leaves_the_configuration_in_force(tmp_path: Path, file: bytes) -> None:
-    """At the start it is one plain line and exit code 2, on SIGHUP one plain line."""
+async def test_malformed_file_leaves_the_current_configuration_in_use(tmp_path: Path, file: bytes) -> None:
+    """At startup a malformed file causes one error line and exit code 2, and on SIGHUP one log line."""
     async with running_service(tmp_path, file) as process:
         _, errors = await process.communicate()
         assert process.returncode == 2
@@ -245,7 +248,10 @@
 
 
 def test_lists_of_more_than_a_thousand_endpoints_fit() -> None:
-    """With the longest addresses and names they take a quarter of the limits at most."""
+    """With the longest addresses and names, a list takes less than half the document limit.
+
+    It also takes less than a quarter of the limit for the configuration file.
+    """
     peer = LoopbackPeer(never_respond, port=65535)
     entry = peer.list_entry(id="s-" + "0" * 60, locality="z" * 60, machine_type="f" * 60)
     assert 4 * len(list_document(1, *[entry] * LARGE_COUNT)) < 2 * json_stream.MAX_DOCUMENT_BYTES
--- a/tests/integration/test_service_start.py
+++ b/tests/integration/test_service_start.py
@@ -1,4 +1,4 @@
-"""The start of the program: the cached endpoint list, and the wait for the first list."""
+"""Tests for the startup of the gateway: the cached endpoint list and the wait for the first list."""
 
 from __future__ import annotations
 
@@ -57,14 +57,17 @@
 
 
 async def wait_for_another_request(peer: LoopbackPeer) -> None:
-    """Wait until a peer has received one request more."""
+    """Wait until a peer has received another request."""
     count = len(peer.requests)
     await wait_until(lambda: len(peer.requests) > count)
 
 
 @async_test
-async def test_process_listens_once_the_agent_has_responded(tmp_path: Path) -> None:
-    """The cached list may be old, and the changes of the agent count as received from the first moment."""
+async def test_process_starts_to_listen_once_the_local_agent_has_responded(tmp_path: Path) -> None:
+    """Guards against requests to endpoints that have been removed since the list was cached.
+
+    With a local agent, the gateway is deemed notified of a change as soon as the agent has it.
+    """
     async with start_peers(respond_with(body=b"removed"), respond_with(body=b"listed")) as (removed, listed):
         port = free_port()
         config = config_document(1, removed.list_entry(), listen=f"127.0.0.1:{port}")
@@ -86,7 +89,7 @@
 
 
 @async_test
-async def test_process_becomes_ready_with_the_cached_list_if_the_agent_stays_silent(
+async def test_process_becomes_ready_with_the_cached_list_if_the_agent_does_not_respond(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(service, "FIRST_LIST_TIMEOUT_S", 0.1)
@@ -104,7 +107,7 @@
 
 
 @async_test
-async def test_sigterm_ends_a_process_that_waits_for_the_first_list(tmp_path: Path) -> None:
+async def test_sigterm_stops_a_process_that_waits_for_the_first_list(tmp_path: Path) -> None:
     async with (
         start_peers(never_respond) as (discovery,),
         running_service(tmp_path, config_document(discovery.port)) as process,
@@ -116,7 +119,7 @@
 
 
 @async_test
-async def test_sighup_moves_a_process_that_waits_for_the_first_list(tmp_path: Path) -> None:
+async def test_sighup_switches_discovery_while_the_process_waits_for_the_first_list(tmp_path: Path) -> None:
     async with (
         start_peers(respond_with(), never_respond, accept_watch_without_changes) as (endpoint, old, new),
         running_service(tmp_path, config_document(old.port, endpoint.list_entry())) as process,
--- a/tests/support/service.py
+++ b/tests/support/service.py
@@ -1,4 +1,4 @@
-"""The gateway as a process of its own: configuration, log and readiness."""
+"""Runs the gateway as a separate process, with helpers for its configuration, log and readiness."""
 
 from __future__ import annotations
 
@@ -35,7 +35,13 @@
 
 
 def config_document(discovery_port: int, *members: dict[str, Any], **fields: Any) -> dict[str, Any]:
-    """A configuration; the members are those of the cached list, the fields replace others."""
+    """Build the content of a configuration file.
+
+    Args:
+        discovery_port: The port of the discovery service on the loopback address.
+        members: The endpoints of the cached list.
+        fields: Top-level fields that replace the default ones.
+    """
     return {
         "name": "n3",
         "listen": "127.0.0.1:0",
@@ -49,7 +55,7 @@
 
 
 def write_config(folder: Path, config: object) -> Path:
-    """Write a configuration file, from its bytes or from a document."""
+    """Write a configuration file from bytes or from a document to encode, and return its path."""
     path = folder / "config.json"
     path.write_bytes(config if isinstance(config, bytes) else orjson.dumps(config))
     return path
@@ -59,13 +65,13 @@
 async def running_service(
     folder: Path, config: object, max_descriptors: int = 0, **variables: str
 ) -> AsyncIterator[asyncio.subprocess.Process]:
-    """A gateway process; it is killed if it still runs at the end.
+    """Run a gateway process; kill it if it still runs at the end of the context.
 
     Args:
-        folder: Where the configuration file is written.
-        config: The bytes of the file, or a document.
-        max_descriptors: The system's limit for the process; 0 for the inherited one.
-        variables: Further environment variables.
+        folder: The directory for the configuration file.
+        config: The bytes of the file, or a document to encode.
+        max_descriptors: The file descriptor limit of the process; 0 keeps the inherited limit.
+        variables: Additional environment variables.
     """
     environment = {"PROXY_CONFIG": str(write_config(folder, config)), **variables}
     process = await asyncio.create_subprocess_exec(
@@ -84,7 +90,7 @@
 
 
 async def next_log_line(process: asyncio.subprocess.Process, text: str) -> str:
-    """The next line of the log that contains a text."""
+    """Return the next log line that contains a text; fail if the process ends without one."""
     assert process.stderr is not None
     async with asyncio.timeout(TEST_TIMEOUT_S):
         while line := (await process.stderr.readline()).decode():
@@ -94,31 +100,31 @@
 
 
 async def remaining_log(process: asyncio.subprocess.Process) -> str:
-    """Everything that the process logs until it exits."""
+    """Return everything that the process still logs until it exits."""
     assert process.stderr is not None
     return (await process.stderr.read()).decode()
 
 
 async def listening_port(process: asyncio.subprocess.Process) -> int:
-    """The port that a process logs as its own."""
+    """Wait for the log line that names the listening address, and return its port."""
     return int((await next_log_line(process, "listening name=")).rsplit(":", 1)[1])
 
 
 def free_port() -> int:
-    """A loopback port on which nothing listens."""
+    """Return a loopback port on which nothing listens."""
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
         return int(probe.getsockname()[1])
 
 
 def accepts_connections(port: int) -> bool:
-    """Whether something listens on a loopback port."""
+    """Return whether something listens on a loopback port."""
     with socket.socket() as probe:
         return probe.connect_ex(("127.0.0.1", port)) == 0
 
 
 async def readiness_status(port: int) -> int:
-    """The status with which the gateway responds to `/up`."""
+    """Return the status of the response to `GET /up`."""
     client = await LoopbackClient.connect(port)
     client.writer.write(b"GET /up HTTP/1.1\r\n\r\n")
     status = (await client.response()).status
@@ -127,7 +133,7 @@
 
 
 async def response_body(port: int) -> bytes:
-    """The body of the response to one request on a new connection."""
+    """Send one request on a new connection and return the body of the response."""
     client = await LoopbackClient.connect(port)
     body = (await client.request()).body
     client.close()
