--- a/http_gateway/service.py
+++ b/http_gateway/service.py
@@ -65,11 +65,11 @@
         self._lag_monitor = LoopLagMonitor()
         self._stop_requested = asyncio.Event()
 
-    async def run(self, early_reloads: Sequence[int]) -> None:
+    async def run(self, early_sighups: Sequence[int]) -> None:
         """Serve requests until SIGTERM or SIGINT, then shut down gracefully.
 
         Args:
-            early_reloads: Numbers of the SIGHUP signals received since the process started. The configuration
+            early_sighups: Numbers of the SIGHUP signals received since the process started. The configuration
                 is read again if there are any, as the file may have changed since it was read.
 
         Raises:
@@ -80,7 +80,7 @@
         listener = self._bind()
         self._discovery.start()
         try:
-            self._enable_reload(early_reloads)
+            self._enable_reload(early_sighups)
             await self._wait_for_first_list()
             await self._listen(listener)
             await self._stop_requested.wait()
@@ -96,9 +96,9 @@
         except OSError as error:
             raise ConfigError(f"cannot listen on {host}:{port}: {error.strerror}") from None
 
-    def _enable_reload(self, early_reloads: Sequence[int]) -> None:
+    def _enable_reload(self, early_sighups: Sequence[int]) -> None:
         self._loop.add_signal_handler(signal.SIGHUP, self._reloader.reload)
-        if early_reloads:
+        if early_sighups:
             self._reloader.reload()
 
     async def _wait_for_first_list(self) -> None:
@@ -148,17 +148,17 @@
             log.warning("connections still open at exit count=%d", len(self._frontend.connections))
 
 
-async def serve(config: GatewayConfig, early_reloads: Sequence[int] = ()) -> None:
+async def serve(config: GatewayConfig, early_sighups: Sequence[int] = ()) -> None:
     """Run a gateway until SIGTERM or SIGINT.
 
     Args:
         config: The configuration at startup.
-        early_reloads: Numbers of the SIGHUP signals received since the process started.
+        early_sighups: Numbers of the SIGHUP signals received since the process started.
 
     Raises:
         ConfigError: The gateway cannot listen on the configured address.
     """
-    await GatewayService(config).run(early_reloads)
+    await GatewayService(config).run(early_sighups)
 
 
 async def _wait_for_any(timeout_s: float, *events: asyncio.Event) -> None:
@@ -171,14 +171,14 @@
             task.cancel()
 
 
-async def _serve_until_exit(config: GatewayConfig, early_reloads: Sequence[int]) -> None:
+async def _serve_until_exit(config: GatewayConfig, early_sighups: Sequence[int]) -> None:
     """Run the gateway, then block further signals.
 
     The event loop removes its signal handlers as it closes. A later signal would kill the process with a
     status other than 0, which looks like a crash.
     """
     try:
-        await serve(config, early_reloads)
+        await serve(config, early_sighups)
     finally:
         signal.pthread_sigmask(signal.SIG_BLOCK, (signal.SIGHUP, *_STOP_SIGNALS))
 
@@ -199,10 +199,10 @@
     _set_up_logging()
     # SIGHUP ends a process without a handler. Until the event loop handles it, each signal is recorded here
     # for a later reload.
-    early_reloads: list[int] = []
-    signal.signal(signal.SIGHUP, lambda signal_number, _: early_reloads.append(signal_number))
+    early_sighups: list[int] = []
+    signal.signal(signal.SIGHUP, lambda signal_number, _: early_sighups.append(signal_number))
     try:
-        asyncio.run(_serve_until_exit(load_config(os.environ), early_reloads))
+        asyncio.run(_serve_until_exit(load_config(os.environ), early_sighups))
     except ConfigError as error:
         print(f"http_gateway: {error}", file=sys.stderr)
         return EXIT_CONFIG_ERROR
--- a/tests/integration/test_shutdown.py
+++ b/tests/integration/test_shutdown.py
@@ -87,7 +87,7 @@
 import os, signal, sys
 from http_gateway import service as program
 
-async def serve(config, early_reloads):
+async def serve(config, early_sighups):
     pass
 
 program.serve = serve
