--- a/http_gateway/net/config.py
+++ b/http_gateway/net/config.py
@@ -43,7 +43,7 @@
     cached_list: EndpointList  # the last endpoint list that an earlier process received
     settings: Settings
     connect_timeout_s: float
-    idle_timeout_s: float  # endpoints close connections that are idle for this long or less
+    idle_timeout_s: float  # endpoints close idle connections after this time or earlier
     max_descriptors: int  # file descriptors that the process may open
 
 
