--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the gateway, its policy and the simulator adapter."""
+"""Tests of the gateway, the load-balancing policy and the simulator adapter."""
--- a/tests/integration/__init__.py
+++ b/tests/integration/__init__.py
@@ -1,1 +1,1 @@
-"""Tests over loopback sockets and of the programs."""
+"""Integration tests, which use loopback sockets or run the programs as subprocesses."""
--- a/tests/support/__init__.py
+++ b/tests/support/__init__.py
@@ -1,1 +1,1 @@
-"""Helpers that several test files use."""
+"""Test helpers that several test modules share."""
--- a/tests/unit/__init__.py
+++ b/tests/unit/__init__.py
@@ -1,1 +1,1 @@
-"""Tests without sockets."""
+"""Unit tests, which open no sockets."""
--- a/tests/unit/net/__init__.py
+++ b/tests/unit/net/__init__.py
@@ -1,1 +1,1 @@
-"""Unit tests of the network code."""
+"""Unit tests of the network code, which need no connection."""
--- a/tests/unit/policy/__init__.py
+++ b/tests/unit/policy/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the load-balancing policy; no test here does any I/O."""
+"""Unit tests of the load-balancing policy, which performs no I/O."""
--- a/tests/unit/simulator/__init__.py
+++ b/tests/unit/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""Unit tests of the simulator's adapter."""
+"""Unit tests of the simulator adapter."""
