--- a/tests/unit/test_project.py
+++ b/tests/unit/test_project.py
@@ -1,4 +1,4 @@
-"""The layout of the package: sizes, dependencies between its parts, and the deploy file."""
+"""Checks of the package layout: module sizes, allowed imports, and the module lists of the deploy file."""
 
 from __future__ import annotations
 
@@ -14,9 +14,10 @@
 MODULES = sorted(PACKAGE.rglob("*.py"))
 MAX_LINES = 400
 MAX_LINE_LENGTH = 110
-# Modules of the standard library that a pure module may use; none of them reads a clock or does I/O.
+# The standard library modules that a policy module may import. The policy must neither read a clock nor
+# perform I/O, so none of these modules does.
 PURE_MODULES = {"__future__", "collections", "dataclasses", "enum", "hashlib", "math", "random", "typing"}
-# The parts of the package, and of which others each may import modules.
+# The parts of the package, each with the other parts whose modules it may import.
 DEPENDENCIES = {
     "__init__": set(),
     "__main__": {"service"},
@@ -40,7 +41,7 @@
 
 
 def _part(path: Path) -> str:
-    """The part of the package that a module belongs to."""
+    """Return the part of the package that a module belongs to: its top-level module or subpackage."""
     return path.relative_to(PACKAGE).with_suffix("").parts[0]
 
 
@@ -68,8 +69,11 @@
 
 
 @pytest.mark.parametrize("path", MODULES, ids=_module_id)
-def test_module_imports_only_from_parts_that_its_part_depends_on(path: Path) -> None:
-    """No import is relative or of the bare package, which would hide the part that it is from."""
+def test_module_imports_only_from_allowed_parts(path: Path) -> None:
+    """Every import within the package names the imported part.
+
+    A relative import or an import of the bare package would hide which part it depends on, so both fail.
+    """
     part = _part(path)
     for module in _imported_modules(path):
         package, _, rest = module.partition(".")
@@ -78,12 +82,12 @@
             assert rest.split(".")[0] in DEPENDENCIES[part] | {part}
 
 
-def test_deploy_file_names_every_policy_module() -> None:
+def test_deploy_file_lists_every_policy_module() -> None:
     deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
     assert sorted(deploy["policy"]) == [str(path.relative_to(ROOT)) for path in POLICY]
 
 
-def test_deploy_file_names_every_other_module_of_the_gateway() -> None:
+def test_deploy_file_lists_every_other_module_of_the_gateway() -> None:
     deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
     named = [ROOT / entry for entry in (*deploy["node"], *deploy["policy"])]
     simulator = PACKAGE / "simulator"
--- a/tests/unit/test_readme.py
+++ b/tests/unit/test_readme.py
@@ -1,4 +1,4 @@
-"""The example in README.md does what the text says."""
+"""The Python example in README.md runs and prints the actions of the policy."""
 
 from __future__ import annotations
 
