--- a/tests/support/fleet/__init__.py
+++ b/tests/support/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""A fleet of gateways in front of the same endpoints, simulated in virtual time."""
+"""Simulation, in virtual time, of a fleet of gateways that share a set of endpoints."""
--- a/tests/support/fleet/endpoint_history.py
+++ b/tests/support/fleet/endpoint_history.py
@@ -1,4 +1,4 @@
-"""The endpoint lists of a fleet, and the simulated endpoints that they name."""
+"""The published endpoint lists of a fleet, and the simulated endpoints that they contain."""
 
 from __future__ import annotations
 
@@ -9,7 +9,10 @@
 
 
 class EndpointHistory:
-    """Every version of the endpoint list, and every incarnation of every endpoint."""
+    """Every published version of the endpoint list, and every incarnation of every endpoint.
+
+    An incarnation is one run of an endpoint, from its start until it is restarted or removed.
+    """
 
     def __init__(self, plan: FleetPlan) -> None:
         self._plan = plan
@@ -19,7 +22,7 @@
 
     @property
     def latest_version(self) -> int:
-        """The version of the latest list."""
+        """The version number of the latest list; the first published list has version 1."""
         return len(self._versions) - 1
 
     @property
@@ -28,20 +31,24 @@
         return self._versions[-1]
 
     @property
-    def warmed_up_incarnations(self) -> list[SimulatedEndpoint]:
-        """Every incarnation that started within the simulation, and so had to warm up."""
-        return [simulated for simulated in self._incarnations if simulated.started_warming_up]
+    def slow_start_incarnations(self) -> list[SimulatedEndpoint]:
+        """Every incarnation that started during the simulation and was therefore in slow start."""
+        return [simulated for simulated in self._incarnations if simulated.had_slow_start]
 
     def at_version(self, version: int) -> tuple[Endpoint, ...]:
-        """Return the endpoints of an earlier list."""
+        """Return the endpoints of a given version of the list."""
         return self._versions[version]
 
     def running(self, endpoint_id: EndpointId) -> SimulatedEndpoint | None:
-        """Return the present incarnation of an endpoint; None once it is removed."""
+        """Return the current incarnation of an endpoint, or None if it is not in the latest list."""
         return self._running.get(endpoint_id)
 
     def publish(self, endpoints: tuple[Endpoint, ...]) -> None:
-        """Add a version of the list; endpoints that are new in it or have restarted start now."""
+        """Publish a new version of the endpoint list.
+
+        Endpoints that are new or have changed since the previous version start a new incarnation. The earlier
+        incarnations of changed and removed endpoints stop.
+        """
         self._versions.append(endpoints)
         running = {}
         for endpoint in endpoints:
@@ -56,7 +63,7 @@
         plan = self._plan
         simulated = SimulatedEndpoint(
             endpoint,
-            warm_speed=plan.capacity_per_s * endpoint.weight / US_PER_S,
+            warm_service_rate=plan.capacity_per_s * endpoint.weight / US_PER_S,
             initial_capacity=plan.settings.initial_capacity,
             slow_start_window_us=plan.settings.slow_start_window_us,
             is_slowed_by_warm_up=plan.responses_earn_credit,
--- a/tests/support/fleet/event_queue.py
+++ b/tests/support/fleet/event_queue.py
@@ -1,4 +1,4 @@
-"""Virtual time: events that are due at later moments, run in order."""
+"""A queue that runs scheduled events in the order of their virtual time."""
 
 from __future__ import annotations
 
@@ -8,27 +8,27 @@
 
 
 class EventQueue:
-    """A clock in microseconds that runs scheduled events.
+    """A virtual clock in microseconds that runs scheduled events.
 
-    Of two events at one moment, the one that was scheduled first runs first.
+    Events that are due at the same time run in the order in which they were scheduled.
     """
 
     def __init__(self, now_us: int) -> None:
         self._now_us = now_us
         self._events: list[tuple[int, int, Callable[[], None]]] = []
-        self._numbers = count()
+        self._sequence_numbers = count()
 
     @property
     def now_us(self) -> int:
-        """The present moment."""
+        """The current virtual time in microseconds."""
         return self._now_us
 
     def schedule(self, delay_us: int, event: Callable[[], None]) -> None:
-        """Run an event after a delay."""
-        heappush(self._events, (self._now_us + delay_us, next(self._numbers), event))
+        """Schedule an event to run after a delay in microseconds."""
+        heappush(self._events, (self._now_us + delay_us, next(self._sequence_numbers), event))
 
     def run_for(self, duration_us: int) -> None:
-        """Let time pass, and run the events that are due within it."""
+        """Advance the clock by a duration, and run the events that become due."""
         end_at_us = self._now_us + duration_us
         while self._events and self._events[0][0] <= end_at_us:
             self._now_us, _, event = heappop(self._events)
--- a/tests/support/fleet/fleet.py
+++ b/tests/support/fleet/fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of gateways under traffic: time, changes of the endpoint list, and what the endpoints got."""
+"""A simulated fleet: runs traffic, changes the endpoint list and measures the load of the endpoints."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from http_gateway.policy.time_units import US_PER_S
 from tests.support.fleet.endpoint_history import EndpointHistory
 from tests.support.fleet.event_queue import EventQueue
-from tests.support.fleet.gateway_member import GatewayMember, Simulation
+from tests.support.fleet.gateway_member import GatewayMember, SimulationContext
 from tests.support.fleet.overload_window import OverloadWindow, worst_overload_window
 from tests.support.fleet.plan import FleetPlan
 
@@ -20,14 +20,14 @@
 
 
 class Fleet:
-    """A plan in execution."""
+    """A running simulation of a `FleetPlan`."""
 
     def __init__(self, plan: FleetPlan) -> None:
         self._plan = plan
         self._random = Random(plan.seed)
         self._events = EventQueue(START_AT_US)
         self._endpoints = EndpointHistory(plan)
-        self._simulation = Simulation(plan, self._random, self._events, self._endpoints)
+        self._simulation = SimulationContext(plan, self._random, self._events, self._endpoints)
         self._endpoints.publish(plan.endpoints)
         self._members = [
             self._start_gateway(index, ListUpdateKind.COMPLETE, list_version=1)
@@ -38,20 +38,20 @@
 
     @property
     def now_us(self) -> int:
-        """The present moment."""
+        """The current virtual time in microseconds."""
         return self._events.now_us
 
     @property
     def endpoints(self) -> tuple[Endpoint, ...]:
-        """The endpoints that run now."""
+        """The endpoints of the latest list, all of which are running."""
         return self._endpoints.latest
 
     def run(self, duration_s: float) -> None:
-        """Let time pass."""
+        """Run the simulation for a duration in seconds."""
         self._events.run_for(round(duration_s * US_PER_S))
 
     def replace_endpoints(self, removed: Iterable[Endpoint]) -> list[Endpoint]:
-        """Remove endpoints, and start new ones like them in their places; return the new ones."""
+        """Replace endpoints by new ones with the same attributes and new ids; return the new endpoints."""
         removed_ids = {endpoint.id for endpoint in removed}
         last_id = max(endpoint.id for endpoint in self.endpoints)
         replaced = [endpoint for endpoint in self.endpoints if endpoint.id in removed_ids]
@@ -64,7 +64,7 @@
         return new
 
     def restart_endpoints(self, restarted: Iterable[Endpoint]) -> None:
-        """Start endpoints again under their old ids."""
+        """Restart endpoints; they keep their ids and get the current time as their start time."""
         restarted_ids = {endpoint.id for endpoint in restarted}
         self.publish_list(
             tuple(
@@ -74,13 +74,19 @@
         )
 
     def publish_list(self, endpoints: tuple[Endpoint, ...]) -> None:
-        """Change the endpoints; each gateway is notified after a delay of its own."""
+        """Publish a new endpoint list; each gateway is notified after its own random delay."""
         self._endpoints.publish(endpoints)
         for member in self._members:
             self._schedule_notification(member)
 
     def restart_gateway(self, gateway_index: int, versions_back: int = 0) -> None:
-        """Replace a gateway by a new instance, with a cached list that its predecessor knew."""
+        """Replace a gateway by a new instance that starts from a cached endpoint list.
+
+        Args:
+            gateway_index: The index of the gateway to replace.
+            versions_back: How many versions the cached list is older than the latest list that the previous
+                instance received.
+        """
         predecessor = self._members[gateway_index]
         list_version = max(1, predecessor.list_version - versions_back)
         predecessor.stop()
@@ -89,20 +95,26 @@
         self._schedule_notification(member)
 
     def scale_refill(self, factor: float) -> None:
-        """Multiply what refills all warm-up buckets: a fault, for tests of the measurement."""
+        """Multiply the refill rate of every warm-up bucket.
+
+        Tests of the overload measurement use this to inject a fault.
+        """
         for member in self._members:
             member.scale_refill(factor)
 
     def worst_overload_window(self) -> OverloadWindow:
-        """Return the window with the greatest excess at any endpoint that had to warm up."""
-        return worst_overload_window(self._endpoints.warmed_up_incarnations, self._plan.settings)
+        """Return the overload window with the greatest excess among all endpoints that were in slow start."""
+        return worst_overload_window(self._endpoints.slow_start_incarnations, self._plan.settings)
 
     def utilisation(self, endpoints: Iterable[Endpoint]) -> float:
-        """Return the work that endpoints got since their start, as a fraction of what they could do."""
+        """Return the work that endpoints have received since their start, as a fraction of their capacity.
+
+        Only endpoints that started during the simulation are taken into account.
+        """
         chosen_endpoints = set(endpoints)
         chosen = [
             simulated
-            for simulated in self._endpoints.warmed_up_incarnations
+            for simulated in self._endpoints.slow_start_incarnations
             if simulated.endpoint in chosen_endpoints
         ]
         arrived = sum(simulated.arrived_work() for simulated in chosen)
--- a/tests/support/fleet/scenarios.py
+++ b/tests/support/fleet/scenarios.py
@@ -1,4 +1,4 @@
-"""Settings, endpoint lists and traffic that several tests of slow start use."""
+"""Settings, endpoint lists and traffic that several slow-start tests share."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class EndpointShape(NamedTuple):
-    """What distinguishes the endpoints of a list."""
+    """The attributes in which the endpoints of a list differ."""
 
     zone: str
     machine_type: str
@@ -32,7 +32,7 @@
     cross_zone_cost: float = 0.0,
     weights_are_capacities: bool = False,
 ) -> Settings:
-    """Return settings with slow start."""
+    """Return settings that enable slow start; times are in seconds."""
     return Settings(
         CLASSES,
         initial_capacity=initial_capacity,
@@ -46,7 +46,7 @@
 
 
 def shaped_endpoints(shapes: Iterable[EndpointShape]) -> tuple[Endpoint, ...]:
-    """Return warm endpoints of these shapes, with ids from 1."""
+    """Return warm endpoints with these attributes, and with consecutive ids from 1."""
     return tuple(
         Endpoint(endpoint_id, zone=shape.zone, machine_type=shape.machine_type, weight=shape.weight)
         for endpoint_id, shape in enumerate(shapes, 1)
@@ -60,12 +60,30 @@
 def one_busy_gateway_in_four(
     gateway_count: int, factor: float = 6.0, zone_count: int = 4
 ) -> tuple[float, ...]:
-    """Return traffic shares: in each zone one gateway in four gets `factor` times what another one gets."""
+    """Return the traffic shares of a fleet in which one gateway in four of each zone is busy.
+
+    Args:
+        gateway_count: The number of gateways.
+        factor: The traffic of a busy gateway, as a multiple of the traffic of any other gateway.
+        zone_count: The number of zones, to which gateways are assigned in round-robin order.
+
+    Returns:
+        The relative traffic of each gateway, by its index.
+    """
     return tuple(factor if index // zone_count % 4 == 0 else 1.0 for index in range(gateway_count))
 
 
 def busy_first_zone(gateway_count: int, zone_count: int, factor: float) -> tuple[float, ...]:
-    """Return traffic shares: the first zone gets `factor` times the traffic of the mean zone."""
+    """Return the traffic shares of a fleet whose first zone is busy.
+
+    Args:
+        gateway_count: The number of gateways.
+        zone_count: The number of zones, to which gateways are assigned in round-robin order.
+        factor: The traffic of the first zone, as a multiple of the mean traffic of a zone.
+
+    Returns:
+        The relative traffic of each gateway, by its index.
+    """
     first, others = factor / zone_count, (1 - factor / zone_count) / (zone_count - 1)
     return tuple(others if index % zone_count else first for index in range(gateway_count))
 
@@ -73,7 +91,17 @@
 def replace_under_traffic(
     plan: FleetPlan, is_replaced: Callable[[Endpoint], bool], before_s: float = 5.0, after_s: float = 6.0
 ) -> tuple[Fleet, list[Endpoint]]:
-    """Replace some endpoints under steady traffic; return the fleet afterwards, and the new endpoints."""
+    """Run a fleet, and replace some of its endpoints under steady traffic.
+
+    Args:
+        plan: The configuration of the fleet.
+        is_replaced: Whether an endpoint is one of those to replace.
+        before_s: How long the fleet runs before the replacement, in seconds.
+        after_s: How long the fleet runs after the replacement, in seconds.
+
+    Returns:
+        The fleet after the run, and the new endpoints.
+    """
     fleet = Fleet(plan)
     fleet.run(before_s)
     new = fleet.replace_endpoints([endpoint for endpoint in fleet.endpoints if is_replaced(endpoint)])
@@ -82,6 +110,6 @@
 
 
 def assert_endpoints_withstand(fleet: Fleet) -> None:
-    """No endpoint that was warming up has got more than it withstands within an overload window."""
+    """Assert that no endpoint in slow start received more work within an overload window than its limit."""
     worst = fleet.worst_overload_window()
     assert worst.excess <= 0, worst.describe()
--- a/tests/support/fleet/stepped_fleet.py
+++ b/tests/support/fleet/stepped_fleet.py
@@ -1,8 +1,9 @@
-"""A small fleet in fixed time steps.
+"""A simplified simulation of a fleet that advances in fixed time steps.
 
-Unlike `Fleet` it has no connections, queueing delays or late notifications: endpoints respond at once, lists
-arrive everywhere at once, and all requests have the same work. So what arrives shows the warm-up buckets
-alone. Only first attempts reach the endpoints; a retry after a rejection is neither ended nor counted.
+Unlike `Fleet`, it simulates no connections, queueing delays or delayed notifications. Endpoints respond at
+once, every gateway receives a changed endpoint list at the same time, and all requests have the same work.
+The number of arrivals therefore shows the effect of the warm-up buckets alone. Only the first attempt of a
+request reaches an endpoint: a retry after a rejection is neither completed nor counted.
 """
 
 from __future__ import annotations
@@ -21,8 +22,8 @@
 
 START_AT_US = 1000 * US_PER_S
 STEP_US = 20 * US_PER_MS
-COST_US = 50 * US_PER_MS  # hint of every request
-MAX_BACKLOG_US = US_PER_S // 2  # of work; an endpoint rejects what is beyond
+COST_HINT_US = 50 * US_PER_MS  # the cost hint of every request
+MAX_BACKLOG_US = US_PER_S // 2  # an endpoint with more queued work than this rejects requests
 
 SETTINGS = Settings(
     CLASSES,
@@ -34,9 +35,10 @@
 
 
 class SteppedFleet:
-    """Many gateways in front of the same endpoints.
+    """Gateways that share a set of endpoints.
 
-    A warm endpoint serves `capacity_per_s` requests a second, and one that is warming up a fraction of that.
+    A warm endpoint serves `capacity_per_s` requests per second, and an endpoint in slow start a fraction of
+    that.
     """
 
     def __init__(
@@ -60,7 +62,7 @@
         self._drivers = [self._start_gateway(index) for index in range(gateway_count)]
 
     def run(self, duration_s: float) -> None:
-        """Let time pass under traffic."""
+        """Run the simulation under traffic for a duration in seconds."""
         end_at_us = self._now_us + round(duration_s * US_PER_S)
         while self._now_us < end_at_us:
             self._now_us += STEP_US
@@ -68,27 +70,30 @@
                 self._send_requests(index, rate_per_s)
 
     def replace_endpoints(self, count: int) -> list[Endpoint]:
-        """Remove the oldest endpoints and start as many new ones; return the new ones."""
+        """Replace the `count` oldest endpoints by new ones; return the new endpoints."""
         last_id = max(endpoint.id for endpoint in self._endpoints)
         new = [Endpoint(last_id + number, started_at_us=self._now_us) for number in range(1, count + 1)]
         self._publish_list(self._endpoints[count:] + new)
         return new
 
     def remove_all_endpoints_but(self, kept: Sequence[Endpoint]) -> None:
-        """Remove every other endpoint."""
+        """Publish a list that contains only the given endpoints."""
         self._publish_list(list(kept))
 
     def restart_gateway(self, gateway_index: int) -> None:
-        """Replace a gateway by a new instance."""
+        """Replace a gateway by a new instance, which has no state of the previous one."""
         self._drivers[gateway_index] = self._start_gateway(gateway_index)
 
     def arrival_count(self, endpoints: Iterable[Endpoint]) -> int:
-        """Return how many requests endpoints got."""
-        return sum(len(self._simulate(endpoint).arrivals) for endpoint in endpoints)
+        """Return the number of requests that have arrived at the given endpoints."""
+        return sum(len(self._simulated_endpoint(endpoint).arrivals) for endpoint in endpoints)
 
     def worst_excess(self, endpoints: Iterable[Endpoint]) -> float:
-        """Return the most that an endpoint got in an overload window beyond what it withstands."""
-        return worst_overload_window(map(self._simulate, endpoints), SETTINGS).excess
+        """Return the greatest excess over the limit in any overload window of the given endpoints.
+
+        The excess is a multiple of the work of a mean request; a positive value means overload.
+        """
+        return worst_overload_window(map(self._simulated_endpoint, endpoints), SETTINGS).excess
 
     def _start_gateway(self, gateway_index: int) -> PolicyDriver:
         driver = PolicyDriver(self._settings[gateway_index], 0, seed=gateway_index, now_us=self._now_us)
@@ -105,14 +110,14 @@
         driver = self._drivers[gateway_index]
         driver.advance_to(self._now_us)
         for _ in range(int(rate_per_s * STEP_US / US_PER_S + self._random.random())):
-            driver.send_request(cost_us=COST_US)
+            driver.send_request(cost_us=COST_HINT_US)
             for attempt in driver.in_flight():
                 driver.end_attempt(attempt, self._respond(gateway_index, attempt.endpoint_id))
             driver.forget_everything_started()
 
     def _respond(self, gateway_index: int, endpoint_id: EndpointId) -> Outcome:
         endpoint = next(endpoint for endpoint in self._endpoints if endpoint.id == endpoint_id)
-        simulated = self._simulate(endpoint)
+        simulated = self._simulated_endpoint(endpoint)
         simulated.record(Arrival(self._now_us, 1.0, gateway_index, gateway_was_notified=True))
         busy_until_us = max(self._now_us, self._busy_until_us.get(endpoint_id, 0.0))
         if busy_until_us > self._now_us + MAX_BACKLOG_US:
@@ -121,12 +126,12 @@
         self._busy_until_us[endpoint_id] = busy_until_us + US_PER_S / rate_per_s
         return Outcome.OK
 
-    def _simulate(self, endpoint: Endpoint) -> SimulatedEndpoint:
+    def _simulated_endpoint(self, endpoint: Endpoint) -> SimulatedEndpoint:
         simulated = self._simulated.get(endpoint.id)
         if simulated is None:
             simulated = self._simulated[endpoint.id] = SimulatedEndpoint(
                 endpoint,
-                warm_speed=self._capacity_per_s / US_PER_S,
+                warm_service_rate=self._capacity_per_s / US_PER_S,
                 initial_capacity=SETTINGS.initial_capacity,
                 slow_start_window_us=SETTINGS.slow_start_window_us,
                 is_slowed_by_warm_up=True,
--- a/tests/unit/policy/test_overload_window.py
+++ b/tests/unit/policy/test_overload_window.py
@@ -1,4 +1,8 @@
-"""The measurement that the slow start tests rely on: it finds overload, and counts only what it should."""
+"""The overload measurement of the simulated fleet detects overload and ignores unnotified gateways.
+
+The slow-start tests rely on this measurement: if it missed overload, they would pass without checking
+anything.
+"""
 
 from __future__ import annotations
 
@@ -15,7 +19,7 @@
 from tests.support.fleet.simulated_endpoint import Arrival, SimulatedEndpoint
 
 
-def test_overload_is_found_where_warm_up_buckets_are_refilled_too_fast() -> None:
+def test_overload_is_detected_when_warm_up_buckets_refill_too_fast() -> None:
     settings = slow_start_settings(
         overload_factor=1.5, overload_window_s=3.0, connect_timeout_s=0.1, initial_capacity=0.1
     )
@@ -32,11 +36,18 @@
 
 
 def window_of_thirty_arrivals(notified_gateways: frozenset[int]) -> OverloadWindow:
-    """Thirty requests from three gateways, of which some were notified of the endpoint's start."""
+    """Measure thirty requests that three gateways send in turn within 30 ms.
+
+    Args:
+        notified_gateways: The indexes of the gateways that know of the endpoint's start.
+
+    Returns:
+        The worst overload window of the endpoint, or an empty one if no window counts.
+    """
     settings = slow_start_settings(overload_factor=2, overload_window_s=1, initial_capacity=0.5)
     simulated = SimulatedEndpoint(
         Endpoint(9, started_at_us=START_AT_US),
-        warm_speed=10 / US_PER_S,
+        warm_service_rate=10 / US_PER_S,
         initial_capacity=0.5,
         slow_start_window_us=40 * US_PER_S,
         is_slowed_by_warm_up=True,
@@ -50,11 +61,13 @@
     return worst_overload_window([simulated], settings)
 
 
-def test_requests_of_gateways_that_were_not_notified_make_no_overload() -> None:
+def test_requests_from_unnotified_gateways_are_not_counted_as_overload() -> None:
     excess_of_all = 30 - (10 + 2 * sqrt(10) + 2)
-    of_all = window_of_thirty_arrivals(frozenset({0, 1, 2}))
-    assert of_all.budget == pytest.approx(10)
-    assert of_all.excess == pytest.approx(excess_of_all)
-    # Two thirds of all thirty are too few for them to count, so the worst window is a smaller one.
+    all_notified = window_of_thirty_arrivals(frozenset({0, 1, 2}))
+    assert all_notified.budget == pytest.approx(10)
+    assert all_notified.excess == pytest.approx(excess_of_all)
+    # A window counts only if more than two thirds of its requests come from notified gateways. Two of three
+    # gateways send exactly two thirds of the thirty requests, so the worst window that counts is a shorter
+    # one.
     assert window_of_thirty_arrivals(frozenset({1, 2})).excess < excess_of_all
     assert window_of_thirty_arrivals(frozenset()).arrived == 0
