--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -1,4 +1,4 @@
-"""Scripted endpoints, clients and a gateway between them, on loopback sockets in one event loop."""
+"""Scripted endpoints, clients and a gateway, which use loopback sockets in a single event loop."""
 
 from __future__ import annotations
 
@@ -29,19 +29,23 @@
 )
 BUY = RequestClass("chapter-buy", 400 * US_PER_MS, 20_000 * US_PER_MS, priority_weight=8)
 SETTINGS = Settings((READ, BUY), max_attempts=5, hedging_allowed=True, cancellation_allowed=True)
-TEST_TIMEOUT_S = 30.0  # generous, for slow machines
+TEST_TIMEOUT_S = 30.0  # long enough for slow or busy machines
 READ_CHUNK_BYTES = 65536
 POLL_INTERVAL_S = 0.005
 MAX_UNREAD_REQUESTS = 1000
 
-_REQUEST_NUMBERS = itertools.count()  # a gateway rejects a request id that is open already
+# Each request gets its own id, because a gateway rejects a request whose id belongs to an open request.
+_REQUEST_NUMBERS = itertools.count()
 
-# What a peer does with a request; it may answer on the connection that the request came on.
+# The function that a peer calls for each request; it may write a response to the request's connection.
 PeerScript = Callable[[Message, asyncio.StreamWriter], Awaitable[None]]
 
 
 def async_test(test: Callable[..., Coroutine[Any, Any, None]]) -> Callable[..., None]:
-    """Run an async test in an event loop of its own; raises TimeoutError after `2 * TEST_TIMEOUT_S`."""
+    """Make a test function of a coroutine function, which runs in its own event loop.
+
+    The test fails with a TimeoutError if it takes longer than `2 * TEST_TIMEOUT_S`.
+    """
 
     @functools.wraps(test)
     def run(*args: object, **kwargs: object) -> None:
@@ -51,14 +55,27 @@
 
 
 async def wait_until(condition: Callable[[], object]) -> None:
-    """Wait until a condition is true; raises TimeoutError after `TEST_TIMEOUT_S`."""
+    """Poll a condition until it is true.
+
+    Raises:
+        TimeoutError: The condition is still false after `TEST_TIMEOUT_S`.
+    """
     async with asyncio.timeout(TEST_TIMEOUT_S):
         while not condition():
             await asyncio.sleep(POLL_INTERVAL_S)
 
 
 def respond_with(status: int = 200, body: bytes = b"page", **headers: str) -> PeerScript:
-    """Return a script that answers every request alike; `_` in a header's name stands for `-`."""
+    """Return a script that sends the same response to every request.
+
+    Args:
+        status: The status code of the response.
+        body: The body of the response.
+        **headers: Header values by name, where `_` in a name stands for `-`.
+
+    Returns:
+        The script for a `LoopbackPeer`.
+    """
     pairs = [(name.replace("_", "-").encode(), value.encode()) for name, value in headers.items()]
 
     async def script(request: Message, writer: asyncio.StreamWriter) -> None:
@@ -68,31 +85,33 @@
 
 
 async def never_respond(request: Message, writer: asyncio.StreamWriter) -> None:
-    """Read a request and never answer it."""
+    """Script that sends no response to a request."""
 
 
 async def reset_connection(request: Message, writer: asyncio.StreamWriter) -> None:
-    """Reset the connection instead of an answer."""
+    """Script that resets the connection instead of sending a response."""
     abort_with_reset(writer)
 
 
 def abort_with_reset(writer: asyncio.StreamWriter) -> None:
-    """Close a connection with a TCP reset."""
+    """Close a connection with a TCP reset, without sending buffered data."""
     writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     writer.transport.abort()
 
 
 @dataclass
 class LoopbackPeer:
-    """An endpoint, or another HTTP server, that passes each complete request to its script.
+    """An HTTP server, such as an endpoint or a discovery service, that runs a script for each request.
 
     Attributes:
-        requests: All requests so far, in the order in which they were complete.
-        request_writers: The connection of each of these requests.
-        writers: Every connection so far, open or closed.
-        connections: How many connections were accepted.
-        closed: How many of them have ended.
-        port: The port to listen on; 0 for a free one, which `start` puts here.
+        script: The function that handles each request.
+        name: The name of the peer, from which its endpoint id is derived.
+        requests: All requests received so far, in the order in which they became complete.
+        request_writers: The writer of the connection of each of these requests.
+        connections: The number of accepted connections.
+        closed: The number of accepted connections that have closed.
+        writers: The writers of all accepted connections, open or closed.
+        port: The port to listen on; 0 selects a free port, which `start` stores here.
     """
 
     script: PeerScript
@@ -106,7 +125,7 @@
     _server: asyncio.Server | None = None
 
     async def start(self) -> None:
-        """Listen on loopback."""
+        """Start to listen on the loopback address."""
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", self.port)
         self.port = self._server.sockets[0].getsockname()[1]
 
@@ -127,18 +146,18 @@
             writer.close()
 
     def stop(self) -> None:
-        """Stop listening and abort every connection."""
+        """Stop listening, and abort every connection."""
         if self._server is not None:
             self._server.close()
         for writer in self.writers:
             writer.transport.abort()
 
     def endpoint_entry(self, **fields: Any) -> EndpointEntry:
-        """Return this peer as an entry of the gateway's endpoint list, with fields of `Endpoint`."""
+        """Return this peer as an entry of the gateway's endpoint list; `fields` are passed to `Endpoint`."""
         return EndpointEntry(Endpoint(endpoint_id(self.name), **fields), ("127.0.0.1", self.port))
 
     def list_entry(self, phase: str = "Ready", **fields: Any) -> dict[str, Any]:
-        """Return this peer as an entry of discovery's JSON document; `fields` add to it or replace."""
+        """Return this peer as an entry of a discovery document; `fields` add or replace JSON fields."""
         return {
             "id": self.name,
             "host_port": f"127.0.0.1:{self.port}",
@@ -154,7 +173,7 @@
 
 @asynccontextmanager
 async def start_peers(*scripts: PeerScript) -> AsyncIterator[list[LoopbackPeer]]:
-    """Run a peer for each script, named `s-0`, `s-1` and so on, and stop them at the end."""
+    """Run one peer for each script, with the names `s-0`, `s-1` and so on, and stop all peers at the end."""
     peers = [LoopbackPeer(script, f"s-{place}") for place, script in enumerate(scripts)]
     for peer in peers:
         await peer.start()
@@ -168,10 +187,16 @@
 def request_bytes(
     class_name: str = "page-read", headers: Mapping[str, str] | None = None, body: bytes = b""
 ) -> bytes:
-    """Encode a request with an id of its own.
+    """Encode a request with a unique request id.
 
-    `headers` add to the usual ones or replace them; an empty value removes one. `page-read` is sent as a GET,
-    every other class as a POST with its Content-Length.
+    Args:
+        class_name: The request class. `page-read` is sent as a GET, and every other class as a POST with a
+            Content-Length header.
+        headers: Headers that extend or replace the default headers. An empty value removes a header.
+        body: The body of the request.
+
+    Returns:
+        The request as it is sent over the connection.
     """
     method = "GET" if class_name == "page-read" else "POST"
     values = {
@@ -189,10 +214,10 @@
 
 
 class LoopbackClient:
-    """A client connection with at most one request open at a time.
+    """A client connection that expects at most one response at a time.
 
     Attributes:
-        writer: The connection, for tests that write bytes of their own.
+        writer: The writer of the connection, for tests that send raw bytes.
     """
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -202,11 +227,16 @@
 
     @classmethod
     async def connect(cls, port: int) -> LoopbackClient:
-        """Connect to a gateway on loopback."""
+        """Connect to a gateway that listens on the loopback address."""
         return cls(*await asyncio.open_connection("127.0.0.1", port))
 
     async def response(self) -> Message:
-        """Return the next response; raises ConnectionError if the connection ends without one."""
+        """Return the next response.
+
+        Raises:
+            ConnectionError: The connection ends before a complete response arrives.
+            TimeoutError: No complete response arrives within `TEST_TIMEOUT_S`.
+        """
         async with asyncio.timeout(TEST_TIMEOUT_S):
             while data := await self._reader.read(READ_CHUNK_BYTES):
                 responses = self._responses.feed(data)
@@ -214,26 +244,31 @@
                 if responses:
                     assert len(responses) == 1
                     return responses[0]
-        raise ConnectionError("the connection ended without a response")
+        raise ConnectionError("the connection closed before a complete response arrived")
 
     async def request(
         self, class_name: str = "page-read", headers: Mapping[str, str] | None = None, body: bytes = b""
     ) -> Message:
-        """Send a request and return its response; raises ConnectionError."""
+        """Send a request, and return its response.
+
+        Raises:
+            ConnectionError: The connection ends before a complete response arrives.
+            TimeoutError: No complete response arrives within `TEST_TIMEOUT_S`.
+        """
         self.writer.write(request_bytes(class_name, headers, body))
         return await self.response()
 
     async def read_until_closed(self) -> bytes:
-        """Return everything that arrives until the gateway closes the connection."""
+        """Return all bytes that arrive until the gateway closes the connection."""
         async with asyncio.timeout(TEST_TIMEOUT_S):
             return await self._reader.read()
 
     def pause_reading(self) -> None:
-        """Stop to read responses: they stay in the system's buffers."""
+        """Pause reading, so that responses stay in the socket buffers."""
         self._transport.pause_reading()
 
     def resume_reading(self) -> None:
-        """Read responses again."""
+        """Resume reading."""
         self._transport.resume_reading()
 
     @property
@@ -242,14 +277,18 @@
         return self.writer.transport
 
     def close(self) -> None:
-        """Disconnect at once."""
+        """Abort the connection without sending buffered data."""
         self.writer.transport.abort()
 
 
 async def request_and_never_read(client: LoopbackClient, peer: LoopbackPeer) -> None:
-    """Send requests and read no response, until the gateway stops reading requests.
+    """Send requests without reading responses, until the gateway stops reading from the connection.
+
+    The gateway is taken to have stopped once the peer has received over a dozen requests fewer than were
+    sent.
 
-    That shows once the peer lags behind by a dozen. Raises AssertionError if it never does.
+    Raises:
+        AssertionError: The gateway has not stopped after `MAX_UNREAD_REQUESTS` requests.
     """
     transport = client.writer.transport
     assert isinstance(transport, asyncio.ReadTransport)
@@ -259,12 +298,12 @@
         await asyncio.sleep(POLL_INTERVAL_S)
         if sent > len(peer.requests) + 12:
             return
-    raise AssertionError("the gateway never stops reading requests")
+    raise AssertionError("the gateway kept reading requests although the client read no responses")
 
 
 @dataclass
 class RunningGateway:
-    """The parts of a gateway that runs in the event loop of the test."""
+    """The components of a gateway that runs in the event loop of the test."""
 
     dispatcher: RequestDispatcher
     pool: UpstreamPool
@@ -273,13 +312,13 @@
     port: int
 
     async def connect(self) -> LoopbackClient:
-        """Open a client connection to the gateway."""
+        """Open a new client connection to the gateway."""
         return await LoopbackClient.connect(self.port)
 
     async def request(
         self, class_name: str = "page-read", headers: Mapping[str, str] | None = None
     ) -> Message:
-        """Send one request on a connection of its own and return its response."""
+        """Send one request on a new connection, and return its response."""
         client = await self.connect()
         try:
             return await client.request(class_name, headers)
@@ -295,7 +334,18 @@
     max_connections: int = 100,
     connect_timeout_s: float = 1.0,
 ) -> AsyncIterator[RunningGateway]:
-    """Run a gateway in this event loop, on a free port, with these endpoints on its list."""
+    """Run a gateway in the current event loop, on a free port.
+
+    Args:
+        *entries: The initial endpoint list; without entries, the gateway receives no list.
+        settings: The settings of the policy.
+        idle_timeout_s: The time after which an idle connection to an endpoint closes, in seconds.
+        max_connections: The limit on upstream connections and, separately, on client connections.
+        connect_timeout_s: The timeout for opening a connection to an endpoint, in seconds.
+
+    Yields:
+        The running gateway, which accepts no further connections after the context ends.
+    """
     pool = UpstreamPool(connect_timeout_s, idle_timeout_s, max_connections)
     balancer = Balancer(settings, seed=1)
     dispatcher = RequestDispatcher(balancer, pool)
@@ -310,5 +360,5 @@
 
 
 def endpoint_list(*entries: EndpointEntry, complete: bool = True, revision: int = 2) -> EndpointList:
-    """Return an endpoint list; the one that `running_gateway` starts with has revision 1."""
+    """Return an endpoint list; `running_gateway` starts with revision 1, so the default is the next one."""
     return EndpointList(revision, complete, entries)
--- a/tests/support/races.py
+++ b/tests/support/races.py
@@ -1,4 +1,4 @@
-"""Helpers for tests that force an order of events on real connections."""
+"""Helpers for race condition tests, which force an order of events on real connections."""
 
 from __future__ import annotations
 
@@ -24,14 +24,17 @@
 
 
 def connect(gateway: RunningGateway, text: bytes = b"") -> socket.socket:
-    """Connect a blocking client, whose writes are done before the gateway's event loop runs again."""
+    """Connect a blocking client socket, and send data on it.
+
+    The call blocks the event loop, so that the data is sent before the gateway runs again.
+    """
     client = socket.create_connection(("127.0.0.1", gateway.port))
     client.sendall(text)
     return client
 
 
 async def answers(client: socket.socket) -> bytes:
-    """Read all responses until the gateway closes; a reset counts as the end."""
+    """Return all bytes up to the end of the connection; a reset counts as the end. Closes the socket."""
     client.setblocking(False)
     text, loop = b"", asyncio.get_running_loop()
     try:
@@ -44,14 +47,14 @@
 
 
 async def only_connection(gateway: RunningGateway) -> ClientConnection:
-    """Wait for the gateway's end of its only client connection."""
+    """Wait until the gateway has exactly one client connection, and return it."""
     await wait_until(lambda: len(gateway.frontend.connections) == 1)
     (connection,) = gateway.frontend.connections
     return connection
 
 
 async def connection_with_partial_request(gateway: RunningGateway) -> ClientConnection:
-    """Wait for a client connection on which a request has begun and is not complete."""
+    """Wait until a client connection has received only a part of a request, and return the connection."""
     connections = gateway.frontend.connections
     await wait_until(lambda: any(other.requests.has_partial_request for other in connections))
     return next(other for other in connections if other.requests.has_partial_request)
@@ -60,7 +63,11 @@
 async def request_until(
     condition: Callable[[], object], client: LoopbackClient, connection: ClientConnection
 ) -> None:
-    """Send requests until the condition is true; each one has its response, read or not, before the next."""
+    """Send requests one after another until a condition is true.
+
+    The next request follows when the gateway has handled the previous one, even if the client has not read
+    the response.
+    """
 
     async def request() -> None:
         count = connection.requests.begun_count
@@ -74,14 +81,17 @@
 
 
 async def pause_reading_until_unread(connection: ClientConnection, send: Callable[[], object]) -> None:
-    """Stop reading the connection, send something on it and wait until it has arrived unread."""
+    """Pause reading on a connection, call `send`, and wait until the connection has unread bytes."""
     connection.transport.stream.pause_reading()
     send()
     await wait_until(lambda: connection.has_unread_bytes)
 
 
 async def wait_for_idle_connection(gateway: RunningGateway, peer: LoopbackPeer) -> None:
-    """Send a request, and wait until its connection to the endpoint is idle and may be used again."""
+    """Send a request, and wait until its upstream connection is idle and reusable.
+
+    The gateway has then also closed its end of the client connection.
+    """
     assert (await gateway.request()).status == 200
     (idle,) = gateway.pool.idle_connections(peer.endpoint_entry().endpoint.id)
     await wait_until(lambda: idle.is_settled(asyncio.get_running_loop().time()))
@@ -89,7 +99,10 @@
 
 
 def after_connecting(monkeypatch: pytest.MonkeyPatch, then: Callable[[], object]) -> None:
-    """Call `then` once a connection to an endpoint is up, before the code that waits for it runs."""
+    """Call a function whenever the event loop has opened an upstream connection.
+
+    The call happens before the code that awaits the connection resumes.
+    """
     loop = asyncio.get_running_loop()
     create_connection = loop.create_connection
 
@@ -102,7 +115,7 @@
 
 
 def record_events(gateway: RunningGateway) -> list[Event]:
-    """Return a list to which every event that the policy handles from now on is added."""
+    """Return a list that grows by every event that the policy handles from now on."""
     events: list[Event] = []
     handle = gateway.balancer.handle
 
@@ -115,5 +128,5 @@
 
 
 def outcomes(events: list[Event]) -> list[Outcome]:
-    """Return the outcomes of the attempts that have ended."""
+    """Return the outcome of every `AttemptEnded` event, in order."""
     return [event.outcome for event in events if isinstance(event, AttemptEnded)]
