--- a/tests/support/record_session.py
+++ b/tests/support/record_session.py
@@ -1,9 +1,10 @@
-"""Records sessions of the simulator's wire: plays the scenarios against an adapter and writes both sides.
+"""Records sessions of the simulator protocol by running the scenarios against an adapter.
 
     python -m tests.support.record_session --folder FOLDER [--working-directory DIRECTORY] -- COMMAND ...
 
-writes `NAME.input.jsonl` and `NAME.output.jsonl` of every scenario. The recorded sessions in `tests/data` pin
-the decisions of the policy; record them anew only with an intended change of decisions.
+The command writes both directions of every session, as `NAME.input.jsonl` and `NAME.output.jsonl`. The
+recorded sessions in `tests/data` are regression tests for the decisions of the policy. Record them again only
+if a change of these decisions is intended.
 """
 
 from __future__ import annotations
@@ -24,27 +25,31 @@
 
 
 class AdapterError(Exception):
-    """The adapter ended early, or failed."""
+    """The adapter exited early or with a failure."""
 
 
 class RecordedSession(NamedTuple):
-    """Both sides of a session, as they were on the wire."""
+    """The bytes of a session in both directions."""
 
     input: bytes
     output: bytes
 
 
 class Adapter:
-    """A running adapter of the simulator's wire."""
+    """A connection to a running simulator adapter."""
 
     def __init__(self, source: IO[bytes], sink: IO[bytes]) -> None:
         self._source = source
         self._sink = sink
 
     def exchange(self, batch: bytes) -> list[bytes]:
-        """Send a batch; return the lines of the reply, the last of which acknowledges it.
+        """Send a batch of events to the adapter.
 
-        Raises `AdapterError` if the output ends before that.
+        Returns:
+            The lines of the reply, the last of which is the acknowledgement.
+
+        Raises:
+            AdapterError: The output of the adapter ends before the acknowledgement.
         """
         self._sink.write(batch)
         self._sink.flush()
@@ -53,12 +58,24 @@
             reply.append(line)
             if json.loads(line)["verb"] == "ack":
                 return reply
-        raise AdapterError("the output of the adapter ended inside a reply")
+        raise AdapterError("the adapter output ended before the acknowledgement of a batch")
 
 
 @contextmanager
 def running_adapter(command: Sequence[str], working_directory: Path) -> Iterator[Adapter]:
-    """Run an adapter; raises `AdapterError` if it does not end well after its input."""
+    """Run an adapter as a subprocess, and close its input at the end.
+
+    Args:
+        command: The command line of the adapter.
+        working_directory: The directory in which the adapter runs.
+
+    Yields:
+        The running adapter.
+
+    Raises:
+        AdapterError: The adapter exits with a code other than 0.
+        subprocess.TimeoutExpired: The adapter does not exit within `EXIT_TIMEOUT_S` of the end of its input.
+    """
     with subprocess.Popen(
         command, cwd=working_directory, stdin=subprocess.PIPE, stdout=subprocess.PIPE
     ) as process:
@@ -71,17 +88,17 @@
         finally:
             process.kill()
     if exit_code != 0:
-        raise AdapterError(f"the adapter ended with exit code {exit_code}")
+        raise AdapterError(f"the adapter failed with exit code {exit_code}")
 
 
 def encode_batch(number: int, clock_us: int, events: Sequence[WireMessage]) -> bytes:
-    """Encode a batch as lines of the wire."""
+    """Encode a batch of events as the JSON lines of the simulator protocol."""
     messages = [{"verb": "frame", "clock": clock_us, "frame": number}, *events, {"verb": "eob"}]
     return b"".join(json.dumps(message, separators=(",", ":")).encode() + b"\n" for message in messages)
 
 
 def record(scenario: Scenario, adapter: Adapter) -> RecordedSession:
-    """Play a scenario against an adapter; return both sides of the session."""
+    """Run a scenario against an adapter; return the recorded session."""
     model = SessionModel(scenario)
     sent, received = [], []
     for number, events in enumerate(model.batches(), start=1):
@@ -89,13 +106,13 @@
         reply = adapter.exchange(batch)
         sent.append(batch)
         received.extend(reply)
-        model.take_reply(json.loads(line) for line in reply[:-1])
+        model.handle_reply(json.loads(line) for line in reply[:-1])
     return RecordedSession(b"".join(sent), b"".join(received))
 
 
 def main() -> None:
-    """Record every scenario with the adapter that the command line names."""
-    parser = argparse.ArgumentParser(description="Record sessions of the simulator's wire.")
+    """Record every scenario with the adapter that the command line specifies."""
+    parser = argparse.ArgumentParser(description="Record sessions of the simulator protocol.")
     parser.add_argument("--folder", type=Path, required=True)
     parser.add_argument("--working-directory", type=Path, default=Path.cwd())
     parser.add_argument("command", nargs="+")
--- a/tests/support/session_model.py
+++ b/tests/support/session_model.py
@@ -1,7 +1,7 @@
-"""A small, seeded model of clients, endpoints and discovery, for recorded sessions of the simulator.
+"""A seeded model of clients, endpoints and discovery, for recorded sessions of the simulator protocol.
 
-The model produces the events of the simulator's wire batch by batch and reacts to the adapter's replies. All
-times are whole microseconds. Field names and codes are those of the wire.
+The model produces batches of events and reacts to the replies of the adapter. All times are whole
+microseconds. The field names and codes of messages are those of the simulator protocol.
 """
 
 from __future__ import annotations
@@ -34,20 +34,20 @@
 REJECTION_LATENCY_US = 2 * US_PER_MS
 CONNECT_FAILURE_LATENCY_US = 5 * US_PER_MS
 DISCOVERY_LATENCY_US = 20 * US_PER_MS
-CLIENT_RETRY_PAUSE_US = 20 * US_PER_MS
+CLIENT_RETRY_DELAY_US = 20 * US_PER_MS
 STREAM_DURATION_US = 80 * US_PER_MS
 
 
 class UnexpectedActionError(Exception):
-    """The adapter wrote an action that the model does not know."""
+    """The adapter sent an action that the model does not support."""
 
     def __init__(self, verb: str) -> None:
         self.verb = verb
-        super().__init__(f"the model does not know the action {verb!r}")
+        super().__init__(f"the adapter sent the unsupported action {verb!r}")
 
 
 class ScheduledEvent(NamedTuple):
-    """What happens at a moment of the session; events of the same moment keep the order of scheduling."""
+    """An event at a given time; events that are due at the same time run in the order of scheduling."""
 
     due_us: int
     sequence: int
@@ -55,7 +55,7 @@
 
 
 class SessionModel:
-    """Produces batches and takes replies until the scenario's time is over."""
+    """Produces batches of events and handles the replies, for the duration of a scenario."""
 
     def __init__(self, scenario: Scenario) -> None:
         self.scenario = scenario
@@ -78,11 +78,14 @@
 
     @property
     def elapsed_us(self) -> int:
-        """Time since the start of the session."""
+        """The time since the start of the session, in microseconds."""
         return self.now_us - START_CLOCK_US
 
     def batches(self) -> Iterable[list[WireMessage]]:
-        """The batches of the session; the reply to each has to be given to `take_reply` before the next."""
+        """Yield the batches of the session in order.
+
+        The caller must pass the reply to each batch to `handle_reply` before it requests the next batch.
+        """
         yield self._take_batch()
         while self.elapsed_us < self.scenario.duration_us:
             self.now_us += self.scenario.tick_us
@@ -91,8 +94,12 @@
             if self._batch:
                 yield self._take_batch()
 
-    def take_reply(self, actions: Iterable[WireMessage]) -> None:
-        """Execute the actions of a reply."""
+    def handle_reply(self, actions: Iterable[WireMessage]) -> None:
+        """Execute the actions of a reply.
+
+        Raises:
+            UnexpectedActionError: The reply contains an unsupported action.
+        """
         for action in actions:
             gateway = self._gateways[action["gateway"]]
             match action["verb"]:
@@ -109,49 +116,49 @@
                 case verb:
                     raise UnexpectedActionError(verb)
 
-    # Scripted changes
+    # Changes that the steps of a scenario make
 
     def send(self, message: WireMessage) -> None:
-        """Add an event to the batch as it is."""
+        """Add a message to the current batch without changing it."""
         self._batch.append(message)
 
     def list_endpoint(self, endpoint_id: int, state: str, how: str = "diff") -> None:
-        """Change the state of an endpoint in the list and send the change."""
+        """Change the listed state of an endpoint, and send the changed entry."""
         self.endpoints[endpoint_id].change_state(state)
         self._send_list(how, [self.endpoints[endpoint_id]])
 
     def restart_endpoint(self, endpoint_id: int) -> None:
-        """Restart an endpoint; it is listed with its new start time."""
+        """Restart an endpoint, and send its entry with the new start time."""
         endpoint = self.endpoints[endpoint_id]
         endpoint.restart(self.now_us)
         self._send_list("diff", [endpoint])
 
     def move_endpoint(self, endpoint_id: int, zone: str, group: int) -> None:
-        """List an endpoint in another zone and deduplication group."""
+        """Move an endpoint to another zone and deduplication group, and send its changed entry."""
         endpoint = self.endpoints[endpoint_id]
         endpoint.move(zone, group)
         self._send_list("diff", [endpoint])
 
     def add_endpoint(self, endpoint: SimulatedEndpoint) -> None:
-        """List an endpoint that has just started."""
+        """Start a new endpoint, and send its entry."""
         endpoint.restart(self.now_us)
         self.endpoints[endpoint.id] = endpoint
         self._send_list("diff", [endpoint])
 
     def send_complete_list(self, without: int | None = None) -> None:
-        """Send the complete list, with or without one endpoint."""
+        """Send the complete endpoint list, after removing the endpoint `without`, if any."""
         if without is not None:
             self.endpoints[without].change_state("OUT")
         self._send_list("snapshot", [entry for entry in self.endpoints.values() if entry.state != "OUT"])
 
     def send_list_failure(self) -> None:
-        """End every watch with a failure."""
+        """Send a discovery failure to the gateways, which ends every watch."""
         self._send_list("error", [])
         for gateway in self._gateways:
             gateway.end_watch()
 
     def retire_gateway(self, index: int) -> None:
-        """Retire an instance; its requests, attempts, timers and undelivered events are void."""
+        """Retire a gateway instance, and discard its requests, attempts, timers and undelivered events."""
         gateway = self._gateways[index]
         gateway.retire()
         self._requests = {key: request for key, request in self._requests.items() if key[0] != index}
@@ -159,12 +166,15 @@
         self._batch.append({"verb": "retire", "gateway": index})
 
     def configure_gateway(self, index: int) -> None:
-        """Configure a retired instance anew; in the batch in which it was retired, or in a later one."""
+        """Configure a retired gateway instance again.
+
+        The configuration may be in the same batch as the retirement or in a later one.
+        """
         self._gateways[index].start()
         self._configure(self._gateways[index])
 
     def restart_gateway(self, index: int) -> None:
-        """Retire an instance and configure it anew in the same batch."""
+        """Retire a gateway instance, and configure it again in the same batch."""
         self.retire_gateway(index)
         self.configure_gateway(index)
 
@@ -201,7 +211,7 @@
         )
 
     def _on_watch(self, gateway: SimulatedGateway) -> None:
-        def answer() -> None:
+        def respond() -> None:
             if self._failing_watches > 0:
                 self._failing_watches -= 1
                 self._append_list(gateway, "error", [])
@@ -209,14 +219,14 @@
             gateway.start_watch()
             self._append_list(gateway, "snapshot", list(self.endpoints.values()))
 
-        self._schedule_for(gateway, self.now_us + DISCOVERY_LATENCY_US, answer)
+        self._schedule_for(gateway, self.now_us + DISCOVERY_LATENCY_US, respond)
 
     # Clients
 
     def _schedule_arrival(self) -> None:
         rate = [phase for phase in self.scenario.rates if phase.from_us <= self.elapsed_us][-1]
-        pause_us = round(self._random.expovariate(rate.requests_per_s) * 1_000_000)
-        self._schedule(self.now_us + pause_us, self._on_arrival)
+        delay_us = round(self._random.expovariate(rate.requests_per_s) * 1_000_000)
+        self._schedule(self.now_us + delay_us, self._on_arrival)
 
     def _on_arrival(self) -> None:
         traffic = self._random.choices(
@@ -295,7 +305,7 @@
         request.complete()
         if not request.traffic.retries or request.is_retry:
             return
-        retry_at_us = self.now_us + max(CLIENT_RETRY_PAUSE_US, action.get("backoff") or 0)
+        retry_at_us = self.now_us + max(CLIENT_RETRY_DELAY_US, action.get("backoff") or 0)
         remaining_us = request.deadline_us - retry_at_us
         if remaining_us > 0:
             self._schedule_for(
@@ -401,7 +411,7 @@
         self._schedule_for(gateway, self.now_us + action["offset"], lambda: self._batch.append(message))
 
     def _schedule_for(self, gateway: SimulatedGateway, at_us: int, run: Callable[[], None]) -> None:
-        """Schedule an event of one incarnation of a gateway."""
+        """Schedule an event that runs only if the gateway has not been retired since the call."""
         incarnation = gateway.incarnation
 
         def run_if_current() -> None:
--- a/tests/support/session_scenario.py
+++ b/tests/support/session_scenario.py
@@ -1,4 +1,4 @@
-"""The parts of a scenario, from which a session of the simulator is recorded. All times are microseconds."""
+"""The definition of a scenario for a recorded simulator session. All times are in microseconds."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 US_PER_MS = 1_000
 
-# Codes of the wire for how an attempt ends.
+# The codes of the simulator protocol for the outcome of an attempt.
 OK = 10
 ERROR = 20
 REJECTED = 30
@@ -22,27 +22,30 @@
 RESET = 60
 CANCELLED = 70
 NOT_SENT = 80
-UNKNOWN = 99  # a code that the wire does not define
+UNKNOWN = 99  # a code that the protocol does not define
 
 
 @dataclass(frozen=True)
 class Fault:
-    """What an endpoint does to a fraction of its attempts for a time; TIMEOUT means that it stays silent."""
+    """A fault that gives a fraction of the attempts at an endpoint a fixed outcome, for a period of time.
+
+    The outcome TIMEOUT means that the endpoint never responds.
+    """
 
     outcome: int
     from_us: int
     until_us: int
     probability: float = 1.0
-    class_name: str | None = None  # None for all classes
+    class_name: str | None = None  # None for all request classes
 
     def applies(self, class_name: str, elapsed_us: int) -> bool:
-        """Whether the fault can meet an attempt of a class, `elapsed_us` after the start of the session."""
+        """Whether the fault can affect an attempt of a class, `elapsed_us` after the start of the session."""
         return self.from_us <= elapsed_us < self.until_us and self.class_name in (None, class_name)
 
 
 @dataclass
 class SimulatedEndpoint:
-    """An endpoint with a queue in front of its workers."""
+    """An endpoint that serves requests from one queue with a fixed number of workers."""
 
     id: int
     zone: str = "north"
@@ -58,7 +61,7 @@
     busy_until_us: list[int] = field(default_factory=list)
 
     def list_entry(self) -> WireMessage:
-        """The endpoint as an entry of the list."""
+        """Return the entry of the endpoint in the endpoint list."""
         return {
             "host": self.id,
             "stageState": self.state,
@@ -70,13 +73,13 @@
         }
 
     def restart(self, now_us: int) -> None:
-        """Start anew with an empty queue."""
+        """Restart with an empty queue."""
         self.state = "IN"
         self.started_at_us = now_us
         self.busy_until_us = []
 
     def change_state(self, state: str) -> None:
-        """Take a state of the list."""
+        """Set the state that the endpoint list shows."""
         self.state = state
 
     def move(self, zone: str, group: int) -> None:
@@ -84,12 +87,16 @@
         self.zone, self.group = zone, group
 
     def in_flight(self, now_us: int) -> int:
-        """Requests that are queued or executed now."""
+        """Return the number of requests that are queued or being served."""
         self.busy_until_us = [until_us for until_us in self.busy_until_us if until_us > now_us]
         return len(self.busy_until_us)
 
     def enqueue(self, service_time_us: int, now_us: int) -> int | None:
-        """Queue a request; return when it will have been served, or None if the queue is full."""
+        """Add a request to the queue.
+
+        Returns:
+            The time at which the request will have been served, or None if the queue is full.
+        """
         if self.in_flight(now_us) >= self.workers + self.queue_limit:
             return None
         latest = sorted(self.busy_until_us)[-self.workers :]
@@ -100,19 +107,19 @@
 
 @dataclass(frozen=True)
 class ClassTraffic:
-    """How much of the traffic is of one class, and how its clients behave."""
+    """The traffic of one request class: its relative share, and the behaviour of its clients."""
 
     name: str
     share: float
     timeout_us: int
     has_key: bool = False
     is_stream: bool = False
-    retries: bool = False  # clients retry once after a failure or a rejection
+    retries: bool = False  # whether clients retry once after a failure or a rejection
 
 
 @dataclass(frozen=True)
 class RatePhase:
-    """The request rate from a moment of the session on, over all gateways."""
+    """The total request rate of all gateways from a given time of the session."""
 
     from_us: int
     requests_per_s: float
@@ -120,7 +127,7 @@
 
 @dataclass(frozen=True)
 class Step:
-    """A scripted change at a moment of the session."""
+    """A scripted change at a given time of the session."""
 
     at_us: int
     run: Callable[[SessionModel], None]
@@ -128,7 +135,7 @@
 
 @dataclass(frozen=True)
 class Scenario:
-    """All that determines a session, apart from the adapter's replies."""
+    """Everything that determines a session, except for the replies of the adapter."""
 
     name: str
     seed: int
@@ -141,5 +148,5 @@
     tenants: tuple[str, ...] = ()
     steps: tuple[Step, ...] = ()
     disconnect_probability: float = 0.03
-    failing_watches: int = 0  # the first calls to discovery that fail
+    failing_watches: int = 0  # the number of discovery watches, from the first on, that fail
     tick_us: int = 5 * US_PER_MS
--- a/tests/support/session_scenarios.py
+++ b/tests/support/session_scenarios.py
@@ -1,4 +1,4 @@
-"""The scenarios of the recorded sessions; together they cover the messages of the simulator's wire."""
+"""The scenarios of the recorded sessions, which together cover every message of the simulator protocol."""
 
 from __future__ import annotations
 
@@ -81,16 +81,16 @@
     "zones": ["north", "south"],
 }
 
-PAGES = ClassTraffic("page", 5.0, 400 * US_PER_MS, retries=True)
-PURCHASES = ClassTraffic("purchase", 3.0, 400 * US_PER_MS)
-RENEWALS = tuple(
+PAGE_TRAFFIC = ClassTraffic("page", 5.0, 400 * US_PER_MS, retries=True)
+PURCHASE_TRAFFIC = ClassTraffic("purchase", 3.0, 400 * US_PER_MS)
+RENEWAL_TRAFFIC = tuple(
     ClassTraffic(f"renewal-{scope}", 2.0, 400 * US_PER_MS, has_key=True) for scope in ("all", "zone", "cell")
 )
-FEEDS = ClassTraffic("feed", 1.5, 400 * US_PER_MS, is_stream=True)
-UNLISTED = ClassTraffic("unlisted", 0.7, 300 * US_PER_MS)
-NOVELTIES = ClassTraffic("novelty", 0.7, 300 * US_PER_MS)
+FEED_TRAFFIC = ClassTraffic("feed", 1.5, 400 * US_PER_MS, is_stream=True)
+UNLISTED_CLASS_TRAFFIC = ClassTraffic("unlisted", 0.7, 300 * US_PER_MS)
+UNKNOWN_EFFECT_TRAFFIC = ClassTraffic("novelty", 0.7, 300 * US_PER_MS)
 
-SESSION_US = 3_200 * US_PER_MS
+SESSION_DURATION_US = 3_200 * US_PER_MS
 
 
 def _at_ms(time_ms: int, change: Callable[[SessionModel], None]) -> Step:
@@ -103,7 +103,7 @@
     return Fault(outcome, from_ms * US_PER_MS, until_ms * US_PER_MS, probability, class_name)
 
 
-def _listed_endpoints() -> list[SimulatedEndpoint]:
+def _mixed_endpoints() -> list[SimulatedEndpoint]:
     faults = {
         0: (_fault(ERROR, 1500, 2400, 0.8, "purchase"),),
         2: (_fault(RESET, 100, 700, 0.8),),
@@ -130,7 +130,7 @@
 ENDPOINT_LISTS = Scenario(
     name="endpoint_lists",
     seed=11,
-    duration_us=SESSION_US,
+    duration_us=SESSION_DURATION_US,
     gateway_count=3,
     setup={
         **SETUP,
@@ -138,8 +138,8 @@
         "fees": {"crossZone": 0.0, "probe": 0.01},
         "invariants": {**SETUP["invariants"], "coldFrom": 0.1, "fall": 400 * US_PER_MS, "fallMultiple": 1.5},
     },
-    endpoints=_listed_endpoints,
-    traffic=(PAGES, PURCHASES, *RENEWALS, NOVELTIES),
+    endpoints=_mixed_endpoints,
+    traffic=(PAGE_TRAFFIC, PURCHASE_TRAFFIC, *RENEWAL_TRAFFIC, UNKNOWN_EFFECT_TRAFFIC),
     rates=(RatePhase(0, 170.0),),
     steps=(
         _at_ms(300, lambda model: model.list_endpoint(70_001, "LAME")),
@@ -164,12 +164,14 @@
 
 
 def _overloaded_endpoints() -> list[SimulatedEndpoint]:
-    silent = _fault(TIMEOUT, 400, 2000, 1.0, "page")
+    unresponsive = _fault(TIMEOUT, 400, 2000, 1.0, "page")
     refusing = _fault(CONNECT_FAILED, 1900, 2300)
     return [
         SimulatedEndpoint(91, service_time_us=24 * US_PER_MS, workers=1, queue_limit=1),
         SimulatedEndpoint(92, service_time_us=24 * US_PER_MS, workers=1, queue_limit=30, faults=(refusing,)),
-        SimulatedEndpoint(93, service_time_us=30 * US_PER_MS, workers=1, queue_limit=2, faults=(silent,)),
+        SimulatedEndpoint(
+            93, service_time_us=30 * US_PER_MS, workers=1, queue_limit=2, faults=(unresponsive,)
+        ),
         SimulatedEndpoint(94, service_time_us=24 * US_PER_MS, workers=1, queue_limit=12),
     ]
 
@@ -177,7 +179,7 @@
 OVERLOAD = Scenario(
     name="overload",
     seed=12,
-    duration_us=SESSION_US,
+    duration_us=SESSION_DURATION_US,
     gateway_count=2,
     setup={
         **SETUP,
@@ -191,7 +193,7 @@
         "overShareWorth": 0.2,
     },
     endpoints=_overloaded_endpoints,
-    traffic=(PAGES, PURCHASES, RENEWALS[0]),
+    traffic=(PAGE_TRAFFIC, PURCHASE_TRAFFIC, RENEWAL_TRAFFIC[0]),
     rates=(
         RatePhase(0, 90.0),
         RatePhase(500 * US_PER_MS, 340.0),
@@ -241,12 +243,12 @@
 
 PEER_MESSAGE = {"verb": "peerData", "gateway": 1, "from": 0, "bytes": "68692037"}
 UNKNOWN_EVENT = {"verb": "a verb of a later version", "gateway": 0, "corr": 1001}
-ABANDONMENT_OF_UNKNOWN_REQUEST = {"verb": "expired", "gateway": 0, "corr": 4_000_000_000}
+EXPIRY_OF_UNKNOWN_REQUEST = {"verb": "expired", "gateway": 0, "corr": 4_000_000_000}
 
 REQUEST_CLASSES = Scenario(
     name="request_classes",
     seed=13,
-    duration_us=SESSION_US,
+    duration_us=SESSION_DURATION_US,
     gateway_count=2,
     setup={
         **SETUP,
@@ -255,7 +257,14 @@
         "report": {"fields": ["inflight", "util"], "how": "piggyback"},
     },
     endpoints=_faulty_endpoints,
-    traffic=(PAGES, PURCHASES, *RENEWALS, FEEDS, UNLISTED, NOVELTIES),
+    traffic=(
+        PAGE_TRAFFIC,
+        PURCHASE_TRAFFIC,
+        *RENEWAL_TRAFFIC,
+        FEED_TRAFFIC,
+        UNLISTED_CLASS_TRAFFIC,
+        UNKNOWN_EFFECT_TRAFFIC,
+    ),
     rates=(RatePhase(0, 170.0),),
     steps=(
         _at_ms(700, lambda model: model.send(_health_check(0, 403, CONNECT_FAILED))),
@@ -263,7 +272,7 @@
         _at_ms(1000, lambda model: model.send(_health_check(0, 402, UNKNOWN))),
         _at_ms(1100, lambda model: model.send(PEER_MESSAGE)),
         _at_ms(1200, lambda model: model.send(UNKNOWN_EVENT)),
-        _at_ms(1300, lambda model: model.send(ABANDONMENT_OF_UNKNOWN_REQUEST)),
+        _at_ms(1300, lambda model: model.send(EXPIRY_OF_UNKNOWN_REQUEST)),
         _at_ms(1900, lambda model: model.restart_endpoint(405)),
     ),
     disconnect_probability=0.08,
--- a/tests/support/session_state.py
+++ b/tests/support/session_state.py
@@ -1,4 +1,4 @@
-"""State of the model of recorded sessions: requests of clients, attempts and gateways."""
+"""The state of the model for recorded sessions: client requests, attempts and gateways."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass
 class ClientRequest:
-    """A request at a gateway, as its client sees it."""
+    """A request that a client has sent to a gateway, from the client's point of view."""
 
     id: int
     gateway: int
@@ -23,17 +23,17 @@
     attempts: list[SimulatedAttempt] = field(default_factory=list)
 
     def complete(self) -> None:
-        """Record the final answer, or that the client has disconnected."""
+        """Mark the request as complete: it has a final answer, or its client has disconnected."""
         self.is_complete = True
 
     def start_stream(self) -> None:
-        """Record that a response stream has started, which ends the deadline."""
+        """Mark the response stream as started; the deadline of the request no longer applies."""
         self.is_streaming = True
 
 
 @dataclass
 class SimulatedAttempt:
-    """An attempt on its way to an endpoint and back."""
+    """An attempt to serve a request at an endpoint."""
 
     request: ClientRequest
     number: int
@@ -43,20 +43,20 @@
     is_streaming: bool = False
 
     def end(self, outcome: int) -> None:
-        """Record the end; a response, or the end of a stream, completes the request."""
+        """Mark the attempt as ended; a response or the end of a response stream completes its request."""
         self.has_ended = True
         if outcome == OK or self.is_streaming:
             self.request.complete()
 
     def start_stream(self) -> None:
-        """Record that the response stream of the request has started here."""
+        """Mark the attempt as the one that streams the response of its request."""
         self.is_streaming = True
         self.request.start_stream()
 
 
 @dataclass
 class SimulatedGateway:
-    """An instance; events for an earlier incarnation of it are void."""
+    """A gateway instance; events that are scheduled for an earlier incarnation are discarded."""
 
     index: int
     incarnation: int = 0
@@ -64,7 +64,7 @@
     is_watching: bool = False
 
     def retire(self) -> None:
-        """End this incarnation."""
+        """End the current incarnation; it stops running and watching the endpoint list."""
         self.incarnation += 1
         self.is_running = self.is_watching = False
 
@@ -73,9 +73,9 @@
         self.is_running = True
 
     def start_watch(self) -> None:
-        """Receive changes of the endpoint list from now on."""
+        """Start a watch, which delivers changes of the endpoint list."""
         self.is_watching = True
 
     def end_watch(self) -> None:
-        """Receive no more changes of the endpoint list."""
+        """End the watch, so that no more changes of the endpoint list are delivered."""
         self.is_watching = False
