--- a/tests/support/fleet/scenarios.py
+++ b/tests/support/fleet/scenarios.py
@@ -53,7 +53,7 @@
     )
 
 
-ALIKE = shaped_endpoints([EndpointShape("a", "x", 1.0)] * 20)
+UNIFORM_ENDPOINTS = shaped_endpoints([EndpointShape("a", "x", 1.0)] * 20)
 FOUR_ZONES = shaped_endpoints([EndpointShape(zone, "x", 1.0) for zone in "abcd"] * 3)
 
 
--- a/tests/unit/policy/test_slow_start.py
+++ b/tests/unit/policy/test_slow_start.py
@@ -15,9 +15,9 @@
 from http_gateway.policy.time_units import US_PER_MS, US_PER_S
 from http_gateway.policy.tracked_endpoint import TrackedEndpoint
 from tests.support.fleet.scenarios import (
-    ALIKE,
     CROSS_ZONE_COST,
     FOUR_ZONES,
+    UNIFORM_ENDPOINTS,
     EndpointShape,
     shaped_endpoints,
     slow_start_settings,
@@ -136,7 +136,7 @@
     slow_start = SlowStart(settings, Random(1))
     warm, member, fallback = track(
         [
-            *ALIKE[:1],
+            *UNIFORM_ENDPOINTS[:1],
             *(Endpoint(endpoint_id, machine_type="x", started_at_us=1) for endpoint_id in (2, 3)),
         ]
     )
--- a/tests/unit/policy/test_slow_start_fleet.py
+++ b/tests/unit/policy/test_slow_start_fleet.py
@@ -12,9 +12,9 @@
 from tests.support.fleet.fleet import Fleet
 from tests.support.fleet.plan import FleetPlan
 from tests.support.fleet.scenarios import (
-    ALIKE,
     CROSS_ZONE_COST,
     FOUR_ZONES,
+    UNIFORM_ENDPOINTS,
     EndpointShape,
     assert_endpoints_withstand,
     busy_first_zone,
@@ -63,7 +63,7 @@
     """Traffic is uneven, lists and connections are late; the new endpoints are used nevertheless."""
     plan = FleetPlan(
         gateway_count,
-        ALIKE,
+        UNIFORM_ENDPOINTS,
         slow_start_settings(connect_timeout_s=1.5),
         traffic_shares=one_busy_gateway_in_four(gateway_count),
         max_list_delay_us=3 * US_PER_S,
@@ -78,7 +78,7 @@
 @pytest.mark.parametrize("gateway_count", GATEWAY_COUNTS)
 def test_endpoints_warming_up_get_a_fifth_of_what_they_can_do(gateway_count: int) -> None:
     """The warm ones are used at three fifths; one request each overload window would be one in twenty."""
-    plan = FleetPlan(gateway_count, ALIKE, slow_start_settings(), capacity_per_s=60.0)
+    plan = FleetPlan(gateway_count, UNIFORM_ENDPOINTS, slow_start_settings(), capacity_per_s=60.0)
     fleet, new = replace_under_traffic(plan, lambda endpoint: endpoint.id % 5 == 0)
     assert_endpoints_withstand(fleet)
     assert fleet.utilisation(new) > 0.2
@@ -89,7 +89,7 @@
     """Each second one gateway in four restarts, some with a cached list from before the change."""
     plan = FleetPlan(
         gateway_count,
-        ALIKE,
+        UNIFORM_ENDPOINTS,
         slow_start_settings(),
         max_list_delay_us=US_PER_S,
         responses_earn_credit=False,
@@ -112,7 +112,7 @@
     shares = tuple(1.0 if index % 10 < 3 else 1e-6 for index in range(gateway_count))
     plan = FleetPlan(
         gateway_count,
-        ALIKE,
+        UNIFORM_ENDPOINTS,
         slow_start_settings(),
         traffic_shares=shares,
         max_list_delay_us=US_PER_S,
@@ -128,16 +128,16 @@
     """Some restart twice, before all gateways are notified of the first time."""
     plan = FleetPlan(
         gateway_count,
-        ALIKE,
+        UNIFORM_ENDPOINTS,
         slow_start_settings(),
         max_list_delay_us=4 * US_PER_S,
         responses_earn_credit=False,
     )
     fleet = Fleet(plan)
     fleet.run(5)
-    fleet.restart_endpoints(ALIKE[:6])
+    fleet.restart_endpoints(UNIFORM_ENDPOINTS[:6])
     fleet.run(3)
-    fleet.restart_endpoints(ALIKE[4:8])
+    fleet.restart_endpoints(UNIFORM_ENDPOINTS[4:8])
     fleet.run(5)
     assert_endpoints_withstand(fleet)
 
@@ -222,7 +222,7 @@
     """The budget of an overload window is 2.7 requests at the start."""
     plan = FleetPlan(
         gateway_count,
-        ALIKE,
+        UNIFORM_ENDPOINTS,
         slow_start_settings(slow_start_window_s=80),
         capacity_per_s=3.0,
         work_spread=0.5,
