--- a/tests/support/fleet/scenarios.py
+++ b/tests/support/fleet/scenarios.py
@@ -54,7 +54,7 @@
 
 
 UNIFORM_ENDPOINTS = shaped_endpoints([EndpointShape("a", "x", 1.0)] * 20)
-FOUR_ZONES = shaped_endpoints([EndpointShape(zone, "x", 1.0) for zone in "abcd"] * 3)
+FOUR_ZONE_ENDPOINTS = shaped_endpoints([EndpointShape(zone, "x", 1.0) for zone in "abcd"] * 3)
 
 
 def one_busy_gateway_in_four(
--- a/tests/unit/policy/test_overload_window.py
+++ b/tests/unit/policy/test_overload_window.py
@@ -15,7 +15,7 @@
 from tests.support.fleet.fleet import START_AT_US, Fleet
 from tests.support.fleet.overload_window import OverloadWindow, worst_overload_window
 from tests.support.fleet.plan import FleetPlan
-from tests.support.fleet.scenarios import FOUR_ZONES, slow_start_settings
+from tests.support.fleet.scenarios import FOUR_ZONE_ENDPOINTS, slow_start_settings
 from tests.support.fleet.simulated_endpoint import Arrival, SimulatedEndpoint
 
 
@@ -25,7 +25,12 @@
     )
     fleet = Fleet(
         FleetPlan(
-            20, FOUR_ZONES, settings, capacity_per_s=60.0, offered_load=0.8, responses_earn_credit=False
+            20,
+            FOUR_ZONE_ENDPOINTS,
+            settings,
+            capacity_per_s=60.0,
+            offered_load=0.8,
+            responses_earn_credit=False,
         )
     )
     fleet.scale_refill(6)
--- a/tests/unit/policy/test_slow_start.py
+++ b/tests/unit/policy/test_slow_start.py
@@ -16,7 +16,7 @@
 from http_gateway.policy.tracked_endpoint import TrackedEndpoint
 from tests.support.fleet.scenarios import (
     CROSS_ZONE_COST,
-    FOUR_ZONES,
+    FOUR_ZONE_ENDPOINTS,
     UNIFORM_ENDPOINTS,
     EndpointShape,
     shaped_endpoints,
@@ -186,7 +186,7 @@
 @pytest.mark.parametrize("cross_zone_cost", [0.0, CROSS_ZONE_COST])
 def test_relative_demand_of_an_endpoint_has_a_mean_of_one_over_all_gateways(cross_zone_cost: float) -> None:
     """Where the zones are alike; also while one of them is warming up."""
-    tracked_endpoints = track(FOUR_ZONES)
+    tracked_endpoints = track(FOUR_ZONE_ENDPOINTS)
     capacity_fractions = {
         tracked: 0.15 if tracked.endpoint.zone == "a" else 1.0 for tracked in tracked_endpoints
     }
--- a/tests/unit/policy/test_slow_start_fleet.py
+++ b/tests/unit/policy/test_slow_start_fleet.py
@@ -13,7 +13,7 @@
 from tests.support.fleet.plan import FleetPlan
 from tests.support.fleet.scenarios import (
     CROSS_ZONE_COST,
-    FOUR_ZONES,
+    FOUR_ZONE_ENDPOINTS,
     UNIFORM_ENDPOINTS,
     EndpointShape,
     assert_endpoints_withstand,
@@ -265,7 +265,7 @@
     """It is replaced, and its gateways use most of what the other zones can do."""
     plan = FleetPlan(
         60,
-        FOUR_ZONES,
+        FOUR_ZONE_ENDPOINTS,
         slow_start_settings(
             overload_factor=overload_factor,
             overload_window_s=3.0,
