--- a/tests/support/fleet/scenarios.py
+++ b/tests/support/fleet/scenarios.py
@@ -15,7 +15,7 @@
 CROSS_ZONE_COST = 0.03
 
 
-class EndpointShape(NamedTuple):
+class EndpointAttributes(NamedTuple):
     """The attributes in which the endpoints of a list differ."""
 
     zone: str
@@ -45,7 +45,7 @@
     )
 
 
-def shaped_endpoints(shapes: Iterable[EndpointShape]) -> tuple[Endpoint, ...]:
+def shaped_endpoints(shapes: Iterable[EndpointAttributes]) -> tuple[Endpoint, ...]:
     """Return warm endpoints with these attributes, and with consecutive ids from 1."""
     return tuple(
         Endpoint(endpoint_id, zone=shape.zone, machine_type=shape.machine_type, weight=shape.weight)
@@ -53,8 +53,8 @@
     )
 
 
-UNIFORM_ENDPOINTS = shaped_endpoints([EndpointShape("a", "x", 1.0)] * 20)
-FOUR_ZONE_ENDPOINTS = shaped_endpoints([EndpointShape(zone, "x", 1.0) for zone in "abcd"] * 3)
+UNIFORM_ENDPOINTS = shaped_endpoints([EndpointAttributes("a", "x", 1.0)] * 20)
+FOUR_ZONE_ENDPOINTS = shaped_endpoints([EndpointAttributes(zone, "x", 1.0) for zone in "abcd"] * 3)
 
 
 def one_busy_gateway_in_four(
--- a/tests/unit/policy/test_slow_start.py
+++ b/tests/unit/policy/test_slow_start.py
@@ -18,7 +18,7 @@
     CROSS_ZONE_COST,
     FOUR_ZONE_ENDPOINTS,
     UNIFORM_ENDPOINTS,
-    EndpointShape,
+    EndpointAttributes,
     shaped_endpoints,
     slow_start_settings,
 )
@@ -158,11 +158,11 @@
 ) -> None:
     """Wherever the warm endpoints of the machine type are."""
     shapes = [
-        EndpointShape("a", "x", 0.5),
-        EndpointShape("a", "y", 4.0),
-        EndpointShape("b", "x", 1.0),
-        EndpointShape("c", "x", 2.0),
-        EndpointShape("d", "y", 1.0),
+        EndpointAttributes("a", "x", 0.5),
+        EndpointAttributes("a", "y", 4.0),
+        EndpointAttributes("b", "x", 1.0),
+        EndpointAttributes("c", "x", 2.0),
+        EndpointAttributes("d", "y", 1.0),
     ] * 4
     settings = replace(
         slow_start_settings(cross_zone_cost=cross_zone_cost, weights_are_capacities=weights_are_capacities),
