--- a/tests/support/fleet/scenarios.py
+++ b/tests/support/fleet/scenarios.py
@@ -45,7 +45,7 @@
     )
 
 
-def shaped_endpoints(shapes: Iterable[EndpointAttributes]) -> tuple[Endpoint, ...]:
+def warm_endpoints(shapes: Iterable[EndpointAttributes]) -> tuple[Endpoint, ...]:
     """Return warm endpoints with these attributes, and with consecutive ids from 1."""
     return tuple(
         Endpoint(endpoint_id, zone=shape.zone, machine_type=shape.machine_type, weight=shape.weight)
@@ -53,8 +53,8 @@
     )
 
 
-UNIFORM_ENDPOINTS = shaped_endpoints([EndpointAttributes("a", "x", 1.0)] * 20)
-FOUR_ZONE_ENDPOINTS = shaped_endpoints([EndpointAttributes(zone, "x", 1.0) for zone in "abcd"] * 3)
+UNIFORM_ENDPOINTS = warm_endpoints([EndpointAttributes("a", "x", 1.0)] * 20)
+FOUR_ZONE_ENDPOINTS = warm_endpoints([EndpointAttributes(zone, "x", 1.0) for zone in "abcd"] * 3)
 
 
 def one_busy_gateway_in_four(
--- a/tests/unit/policy/test_slow_start.py
+++ b/tests/unit/policy/test_slow_start.py
@@ -19,8 +19,8 @@
     FOUR_ZONE_ENDPOINTS,
     UNIFORM_ENDPOINTS,
     EndpointAttributes,
-    shaped_endpoints,
     slow_start_settings,
+    warm_endpoints,
 )
 from tests.support.policy_driver import PolicyDriver
 from tests.support.tracked_endpoints import track
@@ -170,7 +170,7 @@
         zone="a",
     )
     slow_start = SlowStart(settings, Random(1))
-    tracked_endpoints = track(shaped_endpoints(shapes))
+    tracked_endpoints = track(warm_endpoints(shapes))
     capacity_fractions = {
         tracked: 1.0 if tracked.endpoint.zone in warm_zones else 0.15 for tracked in tracked_endpoints
     }
--- a/tests/unit/policy/test_slow_start_fleet.py
+++ b/tests/unit/policy/test_slow_start_fleet.py
@@ -20,8 +20,8 @@
     busy_first_zone,
     one_busy_gateway_in_four,
     replace_under_traffic,
-    shaped_endpoints,
     slow_start_settings,
+    warm_endpoints,
 )
 
 GATEWAY_COUNTS = [1, 20, 60, 230]
@@ -37,7 +37,7 @@
     shapes += [EndpointAttributes(zone, "x", 1.0) for zone in "bcd" for _ in range(4)]
     plan = FleetPlan(
         100,
-        shaped_endpoints(shapes),
+        warm_endpoints(shapes),
         slow_start_settings(
             overload_factor=1.5,
             connect_timeout_s=0.25,
@@ -151,7 +151,7 @@
     weights = [0.5, 1.0, 2.0, 4.0] if weights_are_capacities else [0.5, 1.0, 1.0, 1.5]
     plan = FleetPlan(
         gateway_count,
-        shaped_endpoints([EndpointAttributes("a", "x", weight) for weight in weights * 5]),
+        warm_endpoints([EndpointAttributes("a", "x", weight) for weight in weights * 5]),
         slow_start_settings(weights_are_capacities=weights_are_capacities),
         responses_earn_credit=False,
         max_list_delay_us=US_PER_S,
@@ -165,7 +165,7 @@
 @pytest.mark.parametrize("gateway_count", GATEWAY_COUNTS)
 def test_machine_type_without_a_warm_endpoint_is_not_overloaded(gateway_count: int, at_once: bool) -> None:
     """If its endpoints are replaced one by one, the last warm ones serve a few gateways only."""
-    endpoints = shaped_endpoints([EndpointAttributes("a", machine_type, 1.0) for machine_type in "xxxy" * 5])
+    endpoints = warm_endpoints([EndpointAttributes("a", machine_type, 1.0) for machine_type in "xxxy" * 5])
     plan = FleetPlan(
         gateway_count,
         endpoints,
@@ -192,7 +192,7 @@
 @pytest.mark.parametrize("gateway_count", GATEWAY_COUNTS)
 def test_zone_that_returns_warming_up_is_not_overloaded(gateway_count: int, gap_s: int) -> None:
     """It is replaced at once, or missing for some seconds in which its requests go to other zones."""
-    endpoints = shaped_endpoints([EndpointAttributes(zone, "x", 1.0) for zone in "abcd"] * 5)
+    endpoints = warm_endpoints([EndpointAttributes(zone, "x", 1.0) for zone in "abcd"] * 5)
     plan = FleetPlan(
         gateway_count,
         endpoints,
@@ -243,7 +243,7 @@
     """The budget of an overload window is 180 requests at the start: little is put down to chance."""
     plan = FleetPlan(
         gateway_count,
-        shaped_endpoints([EndpointAttributes("a", "x", 1.0)] * 6),
+        warm_endpoints([EndpointAttributes("a", "x", 1.0)] * 6),
         slow_start_settings(overload_window_s=3, connect_timeout_s=0.1),
         capacity_per_s=135.0,
         traffic_shares=one_busy_gateway_in_four(gateway_count),
@@ -309,7 +309,7 @@
     gateway_count = draw(st.integers(1, 120))
     plan = FleetPlan(
         gateway_count,
-        shaped_endpoints(shapes),
+        warm_endpoints(shapes),
         policy_settings,
         capacity_per_s=draw(st.sampled_from([3.0, 20.0, 50.0])),
         offered_load=draw(st.floats(0.3, 0.8)),
