--- a/tests/support/fleet/scenarios.py
+++ b/tests/support/fleet/scenarios.py
@@ -109,7 +109,7 @@
     return fleet, new
 
 
-def assert_endpoints_withstand(fleet: Fleet) -> None:
+def assert_no_endpoint_overloaded(fleet: Fleet) -> None:
     """Assert that no endpoint in slow start received more work within an overload window than its limit."""
     worst = fleet.worst_overload_window()
     assert worst.excess <= 0, worst.describe()
--- a/tests/unit/policy/test_slow_start_fleet.py
+++ b/tests/unit/policy/test_slow_start_fleet.py
@@ -16,7 +16,7 @@
     FOUR_ZONE_ENDPOINTS,
     UNIFORM_ENDPOINTS,
     EndpointAttributes,
-    assert_endpoints_withstand,
+    assert_no_endpoint_overloaded,
     busy_first_zone,
     one_busy_gateway_in_four,
     replace_under_traffic,
@@ -51,7 +51,7 @@
         responses_earn_credit=earn_credit,
     )
     fleet, new = replace_under_traffic(plan, lambda endpoint: endpoint.zone == "a", after_s=4)
-    assert_endpoints_withstand(fleet)
+    assert_no_endpoint_overloaded(fleet)
     assert fleet.utilisation(new) > 0.2
 
 
@@ -71,7 +71,7 @@
         responses_earn_credit=earn_credit,
     )
     fleet, new = replace_under_traffic(plan, lambda endpoint: endpoint.id % 5 == 0, after_s=8)
-    assert_endpoints_withstand(fleet)
+    assert_no_endpoint_overloaded(fleet)
     assert fleet.utilisation(new) > 0.05
 
 
@@ -80,7 +80,7 @@
     """The warm ones are used at three fifths; one request each overload window would be one in twenty."""
     plan = FleetPlan(gateway_count, UNIFORM_ENDPOINTS, slow_start_settings(), capacity_per_s=60.0)
     fleet, new = replace_under_traffic(plan, lambda endpoint: endpoint.id % 5 == 0)
-    assert_endpoints_withstand(fleet)
+    assert_no_endpoint_overloaded(fleet)
     assert fleet.utilisation(new) > 0.2
 
 
@@ -99,7 +99,7 @@
         for gateway_index in range(second % 4, gateway_count, 4):
             fleet.restart_gateway(gateway_index, versions_back=gateway_index // 4 % 2)
         fleet.run(1)
-    assert_endpoints_withstand(fleet)
+    assert_no_endpoint_overloaded(fleet)
     assert fleet.utilisation(new) > 0
 
 
@@ -119,7 +119,7 @@
         responses_earn_credit=earn_credit,
     )
     fleet, new = replace_under_traffic(plan, lambda endpoint: endpoint.id % 2 == 0)
-    assert_endpoints_withstand(fleet)
+    assert_no_endpoint_overloaded(fleet)
     assert fleet.utilisation(new) > 0.1
 
 
@@ -139,7 +139,7 @@
     fleet.run(3)
     fleet.restart_endpoints(UNIFORM_ENDPOINTS[4:8])
     fleet.run(5)
-    assert_endpoints_withstand(fleet)
+    assert_no_endpoint_overloaded(fleet)
 
 
 @pytest.mark.parametrize("weights_are_capacities", [False, True])
@@ -157,7 +157,7 @@
         max_list_delay_us=US_PER_S,
     )
     fleet, new = replace_under_traffic(plan, lambda endpoint: endpoint.id <= 4)
-    assert_endpoints_withstand(fleet)
+    assert_no_endpoint_overloaded(fleet)
     assert fleet.utilisation(new) > 0.05
 
 
@@ -183,7 +183,7 @@
             fleet.replace_endpoints([endpoint])
             fleet.run(0.7)
     fleet.run(5)
-    assert_endpoints_withstand(fleet)
+    assert_no_endpoint_overloaded(fleet)
     new = [endpoint for endpoint in fleet.endpoints if endpoint.machine_type == "y"]
     assert fleet.utilisation(new) > 0.05
 
@@ -213,7 +213,7 @@
     ]
     fleet.publish_list((*other_zones, *new))
     fleet.run(6)
-    assert_endpoints_withstand(fleet)
+    assert_no_endpoint_overloaded(fleet)
     assert fleet.utilisation(new) > 0.05
 
 
@@ -231,7 +231,7 @@
         timeout_us=6 * US_PER_S,
     )
     fleet, new = replace_under_traffic(plan, lambda endpoint: endpoint.id % 5 == 0, before_s=10, after_s=40)
-    assert_endpoints_withstand(fleet)
+    assert_no_endpoint_overloaded(fleet)
     assert fleet.utilisation(new) > 0.03
 
 
@@ -250,7 +250,7 @@
         responses_earn_credit=earn_credit,
     )
     fleet, new = replace_under_traffic(plan, lambda endpoint: endpoint.id <= 2, before_s=4, after_s=4)
-    assert_endpoints_withstand(fleet)
+    assert_no_endpoint_overloaded(fleet)
     assert fleet.utilisation(new) > 0.2
 
 
@@ -280,7 +280,7 @@
         responses_earn_credit=earn_credit,
     )
     fleet, _ = replace_under_traffic(plan, lambda endpoint: endpoint.zone == "a", before_s=4, after_s=4)
-    assert_endpoints_withstand(fleet)
+    assert_no_endpoint_overloaded(fleet)
 
 
 @st.composite
@@ -332,4 +332,4 @@
     fleet, _ = replace_under_traffic(
         plan, lambda endpoint: endpoint.id <= last_replaced, before_s=4, after_s=4
     )
-    assert_endpoints_withstand(fleet)
+    assert_no_endpoint_overloaded(fleet)
