--- a/tests/integration/test_client_races.py
+++ b/tests/integration/test_client_races.py
@@ -21,8 +21,8 @@
 )
 from tests.support.races import (
     PAGE,
-    after_connecting,
     answers,
+    call_after_connecting,
     connect,
     only_connection,
     outcomes,
@@ -60,7 +60,7 @@
         running_gateway(endpoint.endpoint_entry()) as gateway,
     ):
         client = connect(gateway, request_bytes())
-        after_connecting(monkeypatch, client.close)
+        call_after_connecting(monkeypatch, client.close)
         await wait_until(
             lambda: gateway.dispatcher.submitted_count == 1 and not gateway.dispatcher.in_flight_count
         )
--- a/tests/integration/test_upstream_races.py
+++ b/tests/integration/test_upstream_races.py
@@ -26,7 +26,7 @@
     start_peers,
     wait_until,
 )
-from tests.support.races import after_connecting, answers, connect, record_events
+from tests.support.races import answers, call_after_connecting, connect, record_events
 from tests.support.retries import prefer_endpoints
 from tests.support.upstream import PAGE_RESPONSE, DelayedConnects, expire_request, wait_until_settled
 
@@ -76,7 +76,7 @@
                 assert gateway.dispatcher.in_flight_count == 1
                 expire_request(gateway.dispatcher, 1)
 
-        after_connecting(monkeypatch, end_attempt)
+        call_after_connecting(monkeypatch, end_attempt)
         client = connect(gateway, request_bytes("chapter-buy", {"Connection": "close"}))
         assert (await answers(client)).startswith(b"HTTP/1.1 503")
         await wait_until(lambda: endpoint.closed == 1)
--- a/tests/support/races.py
+++ b/tests/support/races.py
@@ -98,7 +98,7 @@
     await wait_until(lambda: not gateway.frontend.connections)
 
 
-def after_connecting(monkeypatch: pytest.MonkeyPatch, then: Callable[[], object]) -> None:
+def call_after_connecting(monkeypatch: pytest.MonkeyPatch, then: Callable[[], object]) -> None:
     """Call a function whenever the event loop has opened an upstream connection.
 
     The call happens before the code that awaits the connection resumes.
