--- a/tests/integration/test_client_races.py
+++ b/tests/integration/test_client_races.py
@@ -24,12 +24,12 @@
     answers,
     call_after_connecting,
     connect,
-    only_connection,
     outcomes,
     pause_reading_until_unread,
     record_events,
     request_until,
     wait_for_idle_connection,
+    wait_for_only_connection,
 )
 from tests.support.upstream import wait_until_settled
 
@@ -113,7 +113,7 @@
     ):
         client = await gateway.connect()
         client.pause_reading()
-        connection = await only_connection(gateway)
+        connection = await wait_for_only_connection(gateway)
         await request_until(lambda: connection.is_writing_paused, client, connection)
         count = len(endpoint.requests)
         client.writer.write(request_bytes())
@@ -134,7 +134,7 @@
     ):
         client = await gateway.connect()
         client.pause_reading()
-        connection = await only_connection(gateway)
+        connection = await wait_for_only_connection(gateway)
         connection.transport.stream.set_write_buffer_limits(high=2**30)
         await request_until(lambda: connection.unsent_bytes, client, connection)
         endpoint.script = never_respond
@@ -155,7 +155,7 @@
     ):
         client = await gateway.connect()
         client.pause_reading()
-        connection = await only_connection(gateway)
+        connection = await wait_for_only_connection(gateway)
         await request_until(lambda: connection.is_writing_paused, client, connection)
         client.writer.write_eof()
         await wait_until(lambda: not gateway.frontend.connections)
@@ -202,7 +202,7 @@
     ):
         client = connect(gateway, request_bytes() + request_bytes())
         await wait_until(lambda: endpoint.requests)
-        connection = await only_connection(gateway)
+        connection = await wait_for_only_connection(gateway)
         await pause_reading_until_unread(connection, lambda: client.sendall(request_bytes()))
         gateway.frontend.begin_shutdown(asyncio.get_running_loop().time() + 60)
         gateway.frontend.stop_accepting()
@@ -240,7 +240,7 @@
     ):
         client = await gateway.connect()
         assert (await client.request()).status == 200
-        connection = await only_connection(gateway)
+        connection = await wait_for_only_connection(gateway)
         await pause_reading_until_unread(connection, lambda: client.writer.write(request_bytes()))
         others: list[LoopbackClient] = []
         for _ in range(limit):
@@ -258,7 +258,7 @@
     ):
         client = await gateway.connect()
         assert (await client.request()).status == 200
-        connection = await only_connection(gateway)
+        connection = await wait_for_only_connection(gateway)
         await pause_reading_until_unread(connection, lambda: client.writer.write(request_bytes()))
         connection.on_timeout()
         connection.transport.stream.resume_reading()
--- a/tests/support/races.py
+++ b/tests/support/races.py
@@ -46,7 +46,7 @@
     return text
 
 
-async def only_connection(gateway: RunningGateway) -> ClientConnection:
+async def wait_for_only_connection(gateway: RunningGateway) -> ClientConnection:
     """Wait until the gateway has exactly one client connection, and return it."""
     await wait_until(lambda: len(gateway.frontend.connections) == 1)
     (connection,) = gateway.frontend.connections
