--- a/tests/integration/test_client_connection.py
+++ b/tests/integration/test_client_connection.py
@@ -12,7 +12,7 @@
     running_gateway,
     start_peers,
 )
-from tests.support.races import connection_with_partial_request
+from tests.support.races import wait_for_partial_request
 
 
 @async_test
@@ -51,7 +51,7 @@
         client = await gateway.connect()
         text = request_bytes()
         client.writer.write(text[:30])
-        await connection_with_partial_request(gateway)
+        await wait_for_partial_request(gateway)
         gateway.frontend.begin_shutdown(asyncio.get_running_loop().time() + 60)
         gateway.frontend.stop_accepting()
         client.writer.write(text[30:])
--- a/tests/integration/test_connection_limits.py
+++ b/tests/integration/test_connection_limits.py
@@ -17,7 +17,7 @@
     start_peers,
     wait_until,
 )
-from tests.support.races import connection_with_partial_request
+from tests.support.races import wait_for_partial_request
 
 
 @async_test
@@ -79,7 +79,7 @@
         slow_client = await gateway.connect()
         text = request_bytes()
         slow_client.writer.write(text[:-1])
-        await connection_with_partial_request(gateway)
+        await wait_for_partial_request(gateway)
         idle_clients = []
         for _ in range(3 * max_idle):
             idle_clients.append(await gateway.connect())
--- a/tests/integration/test_connection_timeouts.py
+++ b/tests/integration/test_connection_timeouts.py
@@ -15,7 +15,7 @@
     start_peers,
     wait_until,
 )
-from tests.support.races import connection_with_partial_request
+from tests.support.races import wait_for_partial_request
 
 
 @async_test
@@ -56,12 +56,12 @@
         first_timeout_at_s = connection.timeout_at_s
         assert first_timeout_at_s is not None
         client.writer.write(request_bytes()[:30])
-        await connection_with_partial_request(gateway)
+        await wait_for_partial_request(gateway)
         assert connection.timeout_at_s == first_timeout_at_s
         client.writer.write(request_bytes()[30:])
         await client.response()
         client.writer.write(request_bytes()[:30])  # a later request has a timeout of its own
-        await connection_with_partial_request(gateway)
+        await wait_for_partial_request(gateway)
         assert connection.timeout_at_s is not None
         assert first_timeout_at_s < connection.timeout_at_s < asyncio.get_running_loop().time() + 10.0
 
--- a/tests/integration/test_malformed_requests.py
+++ b/tests/integration/test_malformed_requests.py
@@ -13,7 +13,7 @@
     start_peers,
     wait_until,
 )
-from tests.support.races import connection_with_partial_request
+from tests.support.races import wait_for_partial_request
 
 
 @pytest.mark.parametrize(
@@ -69,7 +69,7 @@
     async with running_gateway() as gateway:
         client = await gateway.connect()
         client.writer.write(b"POST /a HTTP/1.1\r\n")
-        await connection_with_partial_request(gateway)
+        await wait_for_partial_request(gateway)
         (connection,) = gateway.frontend.connections
         client.writer.write(b"nonsense\r\n\r\n")
         assert (await client.response()).status == 400
--- a/tests/support/races.py
+++ b/tests/support/races.py
@@ -53,7 +53,7 @@
     return connection
 
 
-async def connection_with_partial_request(gateway: RunningGateway) -> ClientConnection:
+async def wait_for_partial_request(gateway: RunningGateway) -> ClientConnection:
     """Wait until a client connection has received only a part of a request, and return the connection."""
     connections = gateway.frontend.connections
     await wait_until(lambda: any(other.requests.has_partial_request for other in connections))
