--- a/tests/integration/test_client_races.py
+++ b/tests/integration/test_client_races.py
@@ -21,11 +21,11 @@
 )
 from tests.support.races import (
     PAGE,
-    answers,
     call_after_connecting,
     connect,
     outcomes,
     pause_reading_until_unread,
+    read_responses,
     record_events,
     request_until,
     wait_for_idle_connection,
@@ -176,7 +176,7 @@
         gateway.frontend.stop_accepting()
         for client in clients:
             # Shed or served: the share of an endpoint that is warming up does not matter here.
-            assert (await answers(client)).startswith(b"HTTP/1.1 ")
+            assert (await read_responses(client)).startswith(b"HTTP/1.1 ")
 
 
 @async_test
@@ -190,7 +190,7 @@
         client.sendall(request_bytes())
         gateway.frontend.begin_shutdown(asyncio.get_running_loop().time() + 60)
         gateway.frontend.stop_accepting()
-        assert (await answers(client)).count(b"HTTP/1.1 200") == 2
+        assert (await read_responses(client)).count(b"HTTP/1.1 200") == 2
 
 
 @async_test
@@ -210,7 +210,7 @@
         endpoint.request_writers[0].write(PAGE)
         await wait_until(lambda: len(endpoint.requests) == 2 and not gateway.dispatcher.in_flight_count)
         connection.transport.stream.resume_reading()
-        text = await answers(client)
+        text = await read_responses(client)
         assert text.count(b"HTTP/1.1 200") == 3
         assert text.count(b"connection: close") == 1
 
--- a/tests/integration/test_upstream_races.py
+++ b/tests/integration/test_upstream_races.py
@@ -26,7 +26,7 @@
     start_peers,
     wait_until,
 )
-from tests.support.races import answers, call_after_connecting, connect, record_events
+from tests.support.races import call_after_connecting, connect, read_responses, record_events
 from tests.support.retries import prefer_endpoints
 from tests.support.upstream import PAGE_RESPONSE, DelayedConnects, expire_request, wait_until_settled
 
@@ -78,7 +78,7 @@
 
         call_after_connecting(monkeypatch, end_attempt)
         client = connect(gateway, request_bytes("chapter-buy", {"Connection": "close"}))
-        assert (await answers(client)).startswith(b"HTTP/1.1 503")
+        assert (await read_responses(client)).startswith(b"HTTP/1.1 503")
         await wait_until(lambda: endpoint.closed == 1)
         assert not endpoint.requests
 
--- a/tests/support/races.py
+++ b/tests/support/races.py
@@ -33,7 +33,7 @@
     return client
 
 
-async def answers(client: socket.socket) -> bytes:
+async def read_responses(client: socket.socket) -> bytes:
     """Return all bytes up to the end of the connection; a reset counts as the end. Closes the socket."""
     client.setblocking(False)
     text, loop = b"", asyncio.get_running_loop()
