--- a/tests/integration/test_client_races.py
+++ b/tests/integration/test_client_races.py
@@ -22,7 +22,7 @@
 from tests.support.races import (
     PAGE,
     call_after_connecting,
-    connect,
+    connect_blocking_client,
     outcomes,
     pause_reading_until_unread,
     read_responses,
@@ -41,7 +41,7 @@
         running_gateway(endpoint.endpoint_entry()) as gateway,
     ):
         await wait_for_idle_connection(gateway, endpoint)
-        connect(gateway, request_bytes(headers={"X-Request-Id": "disconnected"})).close()
+        connect_blocking_client(gateway, request_bytes(headers={"X-Request-Id": "disconnected"})).close()
         await wait_until(
             lambda: gateway.dispatcher.submitted_count == 2 and not gateway.dispatcher.in_flight_count
         )
@@ -59,7 +59,7 @@
         start_peers(respond_with()) as (endpoint,),
         running_gateway(endpoint.endpoint_entry()) as gateway,
     ):
-        client = connect(gateway, request_bytes())
+        client = connect_blocking_client(gateway, request_bytes())
         call_after_connecting(monkeypatch, client.close)
         await wait_until(
             lambda: gateway.dispatcher.submitted_count == 1 and not gateway.dispatcher.in_flight_count
@@ -87,7 +87,7 @@
             await wait_until_settled(gateway.pool, endpoint.endpoint_entry().endpoint.id)
         await wait_until(lambda: not gateway.frontend.connections)
         submitted_count = gateway.dispatcher.submitted_count
-        client = connect(gateway, request_bytes())
+        client = connect_blocking_client(gateway, request_bytes())
         handle = gateway.balancer.handle
 
         def disconnect_client(event: Event, now_us: int) -> list[Action]:
@@ -170,7 +170,7 @@
         running_gateway(endpoint.endpoint_entry()) as gateway,
     ):
         gateway.frontend.begin_shutdown(asyncio.get_running_loop().time() + 60)
-        clients = [connect(gateway, request_bytes()) for _ in range(40)]
+        clients = [connect_blocking_client(gateway, request_bytes()) for _ in range(40)]
         await asyncio.sleep(0)  # some are accepted, and `connection_made` was not called yet
         await gateway.frontend.accept_backlog()
         gateway.frontend.stop_accepting()
@@ -185,7 +185,7 @@
         start_peers(respond_with()) as (endpoint,),
         running_gateway(endpoint.endpoint_entry()) as gateway,
     ):
-        client = connect(gateway, request_bytes())
+        client = connect_blocking_client(gateway, request_bytes())
         await wait_until(lambda: len(endpoint.requests) == 1 and not gateway.dispatcher.in_flight_count)
         client.sendall(request_bytes())
         gateway.frontend.begin_shutdown(asyncio.get_running_loop().time() + 60)
@@ -200,7 +200,7 @@
         start_peers(never_respond) as (endpoint,),
         running_gateway(endpoint.endpoint_entry()) as gateway,
     ):
-        client = connect(gateway, request_bytes() + request_bytes())
+        client = connect_blocking_client(gateway, request_bytes() + request_bytes())
         await wait_until(lambda: endpoint.requests)
         connection = await wait_for_only_connection(gateway)
         await pause_reading_until_unread(connection, lambda: client.sendall(request_bytes()))
@@ -223,7 +223,7 @@
     ):
         events = record_events(gateway)
         gateway.frontend.begin_shutdown(asyncio.get_running_loop().time() + 5)
-        client = connect(gateway, request_bytes(headers={"X-Deadline": ""}))
+        client = connect_blocking_client(gateway, request_bytes(headers={"X-Deadline": ""}))
         await wait_until(lambda: gateway.dispatcher.in_flight_count)
         (arrived,) = (event for event in events if isinstance(event, RequestArrived))
         assert arrived.timeout_us <= 5 * US_PER_S
--- a/tests/integration/test_upstream_races.py
+++ b/tests/integration/test_upstream_races.py
@@ -26,7 +26,7 @@
     start_peers,
     wait_until,
 )
-from tests.support.races import call_after_connecting, connect, read_responses, record_events
+from tests.support.races import call_after_connecting, connect_blocking_client, read_responses, record_events
 from tests.support.retries import prefer_endpoints
 from tests.support.upstream import PAGE_RESPONSE, DelayedConnects, expire_request, wait_until_settled
 
@@ -41,7 +41,7 @@
     ):
         connects = DelayedConnects(monkeypatch, *endpoints)
         events = record_events(gateway)
-        clients = [connect(gateway, request_bytes()) for _ in range(6)]
+        clients = [connect_blocking_client(gateway, request_bytes()) for _ in range(6)]
         await wait_until(lambda: gateway.dispatcher.unanswered_count == len(clients))
         draining = [endpoint.endpoint_entry(state=EndpointState.DRAINING) for endpoint in endpoints[:3]]
         gateway.dispatcher.update_endpoints(endpoint_list(*draining, complete=False))
@@ -77,7 +77,7 @@
                 expire_request(gateway.dispatcher, 1)
 
         call_after_connecting(monkeypatch, end_attempt)
-        client = connect(gateway, request_bytes("chapter-buy", {"Connection": "close"}))
+        client = connect_blocking_client(gateway, request_bytes("chapter-buy", {"Connection": "close"}))
         assert (await read_responses(client)).startswith(b"HTTP/1.1 503")
         await wait_until(lambda: endpoint.closed == 1)
         assert not endpoint.requests
--- a/tests/support/races.py
+++ b/tests/support/races.py
@@ -23,27 +23,27 @@
 PAGE = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\npage"
 
 
-def connect(gateway: RunningGateway, text: bytes = b"") -> socket.socket:
+def connect_blocking_client(gateway: RunningGateway, data: bytes = b"") -> socket.socket:
     """Connect a blocking client socket, and send data on it.
 
     The call blocks the event loop, so that the data is sent before the gateway runs again.
     """
     client = socket.create_connection(("127.0.0.1", gateway.port))
-    client.sendall(text)
+    client.sendall(data)
     return client
 
 
 async def read_responses(client: socket.socket) -> bytes:
     """Return all bytes up to the end of the connection; a reset counts as the end. Closes the socket."""
     client.setblocking(False)
-    text, loop = b"", asyncio.get_running_loop()
+    received, loop = b"", asyncio.get_running_loop()
     try:
         while data := await loop.sock_recv(client, 65536):
-            text += data
+            received += data
     except ConnectionError:
         pass
     client.close()
-    return text
+    return received
 
 
 async def wait_for_only_connection(gateway: RunningGateway) -> ClientConnection:
