--- a/tests/integration/test_client_races.py
+++ b/tests/integration/test_client_races.py
@@ -48,7 +48,7 @@
         assert (await gateway.request()).status == 200
         forwarded = [request.header(b"x-request-id") == "disconnected" for request in endpoint.requests]
         assert forwarded == [False, False]
-        assert endpoint.connections == 1  # the connection that was meant for the request is used again
+        assert endpoint.connection_count == 1  # the connection that was meant for the request is used again
 
 
 @async_test
--- a/tests/integration/test_discovery_client.py
+++ b/tests/integration/test_discovery_client.py
@@ -116,8 +116,8 @@
         async with received_lists(service, 41, PUSHED_SETTINGS):
             for count in range(3 * session.MAX_CONCURRENT_CALLS):
                 await wait_for_requests(service, count + 1)
-                most = max(most, service.connections - service.closed)
-        await wait_until(lambda: service.connections == service.closed)
+                most = max(most, service.connection_count - service.closed)
+        await wait_until(lambda: service.connection_count == service.closed)
         assert most <= session.MAX_CONCURRENT_CALLS + 1  # the close of the cancelled one may come later
 
 
@@ -190,7 +190,7 @@
         await wait_until(lambda: new.requests and old.closed)
         new.writers[0].write(chunk(list_document(3)))
         await wait_until(lambda: lists)
-        await wait_until(lambda: between.connections == between.closed)
+        await wait_until(lambda: between.connection_count == between.closed)
         assert not between.requests
 
 
--- a/tests/integration/test_upstream_endpoints.py
+++ b/tests/integration/test_upstream_endpoints.py
@@ -58,7 +58,7 @@
         await driver.run()
         driver.update_endpoint(started_at_us=5)
         assert (await driver.run()).outcome is Outcome.OK
-        assert endpoint.connections == 2
+        assert endpoint.connection_count == 2
 
 
 @async_test
--- a/tests/integration/test_upstream_outcomes.py
+++ b/tests/integration/test_upstream_outcomes.py
@@ -114,7 +114,7 @@
         driver = AttemptDriver(endpoint.port)
         for _ in range(2):
             assert (await driver.run()).outcome is Outcome.OK
-        assert endpoint.connections == 1
+        assert endpoint.connection_count == 1
 
 
 @async_test
--- a/tests/integration/test_upstream_reuse.py
+++ b/tests/integration/test_upstream_reuse.py
@@ -38,7 +38,7 @@
         driver = AttemptDriver(endpoint.port)
         for _ in range(3):
             assert (await driver.run()).outcome is Outcome.OK
-        assert endpoint.connections == 1
+        assert endpoint.connection_count == 1
 
 
 @async_test
@@ -90,7 +90,7 @@
         await driver.run()
         await end_idle_connection(endpoint, driver)
         assert await driver.run_and_read_body() == b"page"
-        assert endpoint.connections == 2
+        assert endpoint.connection_count == 2
 
 
 @pytest.mark.parametrize("unread", [b"", PAGE_RESPONSE])
@@ -109,7 +109,7 @@
         gateway_socket = transport.get_extra_info("socket")
         await wait_until(lambda: select.select([gateway_socket], [], [], 0)[0])
         assert await driver.run_and_read_body() == b"good"
-        assert endpoint.connections == 2
+        assert endpoint.connection_count == 2
 
 
 @async_test
@@ -122,7 +122,7 @@
         driver = AttemptDriver(endpoint.port)
         await driver.run()
         assert await driver.run_and_read_body() == b"next"
-        assert endpoint.connections == 2
+        assert endpoint.connection_count == 2
 
 
 @pytest.mark.parametrize(
@@ -137,7 +137,7 @@
         driver = AttemptDriver(endpoint.port)
         for _ in range(2):
             assert await driver.run_and_read_body() == b"page"
-        assert endpoint.connections == 2
+        assert endpoint.connection_count == 2
 
 
 @async_test
@@ -172,7 +172,7 @@
         assert (await client.request()).body == b"page"
         assert (await client.request()).body == b"page"
         await wait_until(lambda: endpoint.closed)
-        assert endpoint.connections == 2
+        assert endpoint.connection_count == 2
 
 
 @async_test
@@ -192,7 +192,7 @@
         assert (await driver.run(CHAPTER_ADD)).outcome is Outcome.REJECTED
         endpoint.script = script
         assert (await driver.run(CHAPTER_ADD)).outcome is Outcome.OK
-        assert endpoint.connections == 2
+        assert endpoint.connection_count == 2
 
 
 @async_test
@@ -202,7 +202,7 @@
         for _ in range(5):
             assert (await driver.run(CHAPTER_ADD)).outcome is Outcome.REJECTED
             assert len(driver.pool.idle_connections(ENDPOINT_ID)) == 1
-        assert endpoint.connections == 5
+        assert endpoint.connection_count == 5
 
 
 @async_test
@@ -210,4 +210,4 @@
     async with start_peers(REJECT) as (endpoint,):
         driver = AttemptDriver(endpoint.port)
         assert [(await driver.run(PAGE_READ)).outcome for _ in range(3)] == [Outcome.REJECTED] * 3
-        assert endpoint.connections == 1
+        assert endpoint.connection_count == 1
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -108,7 +108,7 @@
         name: The name of the peer, from which its endpoint id is derived.
         requests: All requests received so far, in the order in which they became complete.
         request_writers: The writer of the connection of each of these requests.
-        connections: The number of accepted connections.
+        connection_count: The number of accepted connections.
         closed: The number of accepted connections that have closed.
         writers: The writers of all accepted connections, open or closed.
         port: The port to listen on; 0 selects a free port, which `start` stores here.
@@ -118,7 +118,7 @@
     name: str = "s-1"
     requests: list[Message] = field(default_factory=list)
     request_writers: list[asyncio.StreamWriter] = field(default_factory=list)
-    connections: int = 0
+    connection_count: int = 0
     closed: int = 0
     writers: list[asyncio.StreamWriter] = field(default_factory=list)
     port: int = 0
@@ -130,7 +130,7 @@
         self.port = self._server.sockets[0].getsockname()[1]
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.connections += 1
+        self.connection_count += 1
         self.writers.append(writer)
         requests = RequestReader()
         try:
