--- a/tests/integration/test_discovery_client.py
+++ b/tests/integration/test_discovery_client.py
@@ -93,14 +93,14 @@
 
     async def script(request: Message, writer: asyncio.StreamWriter) -> None:
         if len(service.requests) == 3:
-            closed_counts.append(service.closed)
+            closed_counts.append(service.closed_count)
             writer.write(WATCH_HEAD + chunk(list_document(42)))
 
     closed_counts: list[int] = []
     async with start_peers(script) as (service,):
         async with received_lists(service, 41, PUSHED_SETTINGS) as lists:
             await wait_until(lambda: lists)
-            await wait_until(lambda: service.closed == 2)  # the unanswered ones
+            await wait_until(lambda: service.closed_count == 2)  # the unanswered ones
         assert closed_counts == [0]
 
 
@@ -116,8 +116,8 @@
         async with received_lists(service, 41, PUSHED_SETTINGS):
             for count in range(3 * session.MAX_CONCURRENT_CALLS):
                 await wait_for_requests(service, count + 1)
-                most = max(most, service.connection_count - service.closed)
-        await wait_until(lambda: service.connection_count == service.closed)
+                most = max(most, service.connection_count - service.closed_count)
+        await wait_until(lambda: service.connection_count == service.closed_count)
         assert most <= session.MAX_CONCURRENT_CALLS + 1  # the close of the cancelled one may come later
 
 
@@ -131,7 +131,7 @@
         await wait_for_requests(service, 2)
         for writer, revision in zip(service.request_writers[:2][::-1], (43, 42), strict=True):
             writer.write(WATCH_HEAD + chunk(list_document(revision)))
-        await wait_until(lambda: lists and service.closed)
+        await wait_until(lambda: lists and service.closed_count)
         for writer in service.request_writers[:2]:
             writer.write(chunk(list_document(44)))
         await wait_until(lambda: lists[-1].revision == 44)
@@ -166,7 +166,7 @@
         # The list has arrived, and has not been read.
         select.select([accepted_transports()[0].get_extra_info("socket")], [], [])
         client.move_to(("127.0.0.1", new.port))
-        await wait_until(lambda: new.requests and old.closed)
+        await wait_until(lambda: new.requests and old.closed_count)
         assert new.requests[0].target.endswith(b"from=0")
         assert not lists
         new.writers[0].write(chunk(list_document(3)))
@@ -187,10 +187,10 @@
         client.move_to(("127.0.0.1", between.port))
         await asyncio.sleep(0)  # it connects
         client.move_to(("127.0.0.1", new.port))
-        await wait_until(lambda: new.requests and old.closed)
+        await wait_until(lambda: new.requests and old.closed_count)
         new.writers[0].write(chunk(list_document(3)))
         await wait_until(lambda: lists)
-        await wait_until(lambda: between.connection_count == between.closed)
+        await wait_until(lambda: between.connection_count == between.closed_count)
         assert not between.requests
 
 
--- a/tests/integration/test_discovery_watch.py
+++ b/tests/integration/test_discovery_watch.py
@@ -99,7 +99,7 @@
     monkeypatch.setattr(watch, "WATCH_SILENCE_TIMEOUT_S", 0.1)
     async with start_peers(accept_watch) as (service,), received_lists(service):
         await wait_until(lambda: len(service.requests) > 1)
-        await wait_until(lambda: service.closed)
+        await wait_until(lambda: service.closed_count)
 
 
 @async_test
--- a/tests/integration/test_malformed_requests.py
+++ b/tests/integration/test_malformed_requests.py
@@ -124,4 +124,4 @@
         client.writer.write(b"\x00noise")
         assert (await client.response()).status == 400
         assert await client.read_until_closed() == b""
-        await wait_until(lambda: endpoint.closed and not gateway.dispatcher.in_flight_count)
+        await wait_until(lambda: endpoint.closed_count and not gateway.dispatcher.in_flight_count)
--- a/tests/integration/test_reload.py
+++ b/tests/integration/test_reload.py
@@ -48,7 +48,7 @@
         await wait_until(lambda: old.requests)
         write_config(tmp_path, config_document(new.port, cached.list_entry(), seed="other"))
         process.send_signal(signal.SIGHUP)
-        await wait_until(lambda: new.requests and old.closed)
+        await wait_until(lambda: new.requests and old.closed_count)
         assert new.requests[0].target.endswith(b"from=0")
         assert (await client.request()).body == b"cached"
         new.writers[-1].write(chunk(list_document(3, listed.list_entry(id="s-9"))))
@@ -89,7 +89,7 @@
         process.send_signal(signal.SIGHUP)
         await next_log_line(process, "ERROR reload failed reason=")
         assert (await client.request()).status == 200
-        assert not discovery.closed
+        assert not discovery.closed_count
 
 
 @async_test
--- a/tests/integration/test_request_dispatcher.py
+++ b/tests/integration/test_request_dispatcher.py
@@ -79,7 +79,7 @@
         response = await client.request(class_name, {"X-Deadline": "0.4"})
         assert response.status == status
         assert time.monotonic() - started_at_s >= 0.4 - RESPONSE_MARGIN_US / US_PER_S - 0.001
-        await wait_until(lambda: endpoint.closed)
+        await wait_until(lambda: endpoint.closed_count)
         assert gateway.dispatcher.unanswered_count == 0
         gateway.frontend.stop_accepting()
         assert await client.read_until_closed() == b""
@@ -201,7 +201,7 @@
         client.writer.write(request_bytes())
         await wait_until(lambda: endpoint.requests)
         client.close()
-        await wait_until(lambda: endpoint.closed)
+        await wait_until(lambda: endpoint.closed_count)
         await wait_until(lambda: not gateway.dispatcher.in_flight_count)
         assert RequestAbandoned(1) in events
         assert outcomes(events)[0] is Outcome.CANCELLED
--- a/tests/integration/test_retry_deadlines.py
+++ b/tests/integration/test_retry_deadlines.py
@@ -62,7 +62,7 @@
         assert DEDUPLICATION_WINDOW_S <= time.monotonic() - started_at_s < 5
         connects.allow.set()
         await wait_until(lambda: not gateway.pool.connecting_count)
-        await wait_until(lambda: other.closed == other.connection_count)
+        await wait_until(lambda: other.closed_count == other.connection_count)
         assert [len(first.requests), len(other.requests)] == [1, 0]
         client.close()
 
@@ -137,6 +137,6 @@
         assert gateway.dispatcher.unanswered_count == 1  # at the end of the window, before the deadline
         connects.allow.set()
         await wait_until(lambda: not gateway.pool.connecting_count)
-        await wait_until(lambda: first.closed == first.connection_count)
+        await wait_until(lambda: first.closed_count == first.connection_count)
         assert not first.requests
         client.close()
--- a/tests/integration/test_upstream_endpoints.py
+++ b/tests/integration/test_upstream_endpoints.py
@@ -24,7 +24,7 @@
         await driver.run()
         driver.drain_endpoint()
         assert driver.start() is None
-        await wait_until(lambda: endpoint.closed == 1)
+        await wait_until(lambda: endpoint.closed_count == 1)
         assert len(endpoint.requests) == 1
 
 
@@ -71,7 +71,7 @@
         await respond_with()(endpoint.requests[0], endpoint.request_writers[0])
         await wait_until(lambda: driver.ends)
         assert driver.ends[0].outcome is Outcome.OK
-        await wait_until(lambda: endpoint.closed)
+        await wait_until(lambda: endpoint.closed_count)
 
 
 @async_test
@@ -94,7 +94,7 @@
                 outcomes.append(Outcome.NOT_SENT)
         await wait_until(lambda: len(outcomes) == 2)
         assert outcomes == [Outcome.NOT_SENT, Outcome.OK]
-        await wait_until(lambda: endpoint.closed)
+        await wait_until(lambda: endpoint.closed_count)
 
 
 @async_test
--- a/tests/integration/test_upstream_outcomes.py
+++ b/tests/integration/test_upstream_outcomes.py
@@ -225,6 +225,6 @@
         assert attempt is not None
         await wait_until(lambda: endpoint.requests)
         attempt.stop(Outcome.CANCELLED)
-        await wait_until(lambda: endpoint.closed)
+        await wait_until(lambda: endpoint.closed_count)
         attempt.stop(Outcome.TIMEOUT)
         assert [end.outcome for end in driver.ends] == [Outcome.CANCELLED]
--- a/tests/integration/test_upstream_races.py
+++ b/tests/integration/test_upstream_races.py
@@ -79,7 +79,7 @@
         call_after_connecting(monkeypatch, end_attempt)
         client = connect_blocking_client(gateway, request_bytes("chapter-buy", {"Connection": "close"}))
         assert (await read_responses(client)).startswith(b"HTTP/1.1 503")
-        await wait_until(lambda: endpoint.closed == 1)
+        await wait_until(lambda: endpoint.closed_count == 1)
         assert not endpoint.requests
 
 
--- a/tests/integration/test_upstream_reuse.py
+++ b/tests/integration/test_upstream_reuse.py
@@ -162,7 +162,9 @@
             endpoint.request_writers[0].write(PAGE_RESPONSE.replace(b"page", b"late"))
             if writer is endpoint.request_writers[0]:
                 return
-            await wait_until(lambda: endpoint.closed)  # the gateway has read it and closed the connection
+            await wait_until(
+                lambda: endpoint.closed_count
+            )  # the gateway has read it and closed the connection
 
     async with (
         start_peers(script) as (endpoint,),
@@ -171,7 +173,7 @@
         client = await gateway.connect()
         assert (await client.request()).body == b"page"
         assert (await client.request()).body == b"page"
-        await wait_until(lambda: endpoint.closed)
+        await wait_until(lambda: endpoint.closed_count)
         assert endpoint.connection_count == 2
 
 
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -109,7 +109,7 @@
         requests: All requests received so far, in the order in which they became complete.
         request_writers: The writer of the connection of each of these requests.
         connection_count: The number of accepted connections.
-        closed: The number of accepted connections that have closed.
+        closed_count: The number of accepted connections that have closed.
         writers: The writers of all accepted connections, open or closed.
         port: The port to listen on; 0 selects a free port, which `start` stores here.
     """
@@ -119,7 +119,7 @@
     requests: list[Message] = field(default_factory=list)
     request_writers: list[asyncio.StreamWriter] = field(default_factory=list)
     connection_count: int = 0
-    closed: int = 0
+    closed_count: int = 0
     writers: list[asyncio.StreamWriter] = field(default_factory=list)
     port: int = 0
     _server: asyncio.Server | None = None
@@ -142,7 +142,7 @@
         except ConnectionError:
             pass
         finally:
-            self.closed += 1
+            self.closed_count += 1
             writer.close()
 
     def stop(self) -> None:
