--- a/http_gateway/policy/slow_start.py
+++ b/http_gateway/policy/slow_start.py
@@ -1,35 +1,53 @@
 """Slow start: limits the work that a gateway sends to endpoints that have started recently.
 
-An endpoint that is warming up fails if all gateways together send it more than a budget of N requests of mean
-work, plus a margin for random variation, within the overload window T. N is the overload factor M times the
-work that the endpoint can do within T at its present capacity. Gateways share no state, so each of them keeps
-a token bucket for each such endpoint. A request takes its cost out of the bucket when it is assigned to the
-endpoint, whatever its outcome. The bucket gets tokens from two sources:
-
-1. Refill. Per overload window, the bucket gets the ratio R of the gateway's share of N. To compute that
-   share, the throughput of an endpoint is estimated from the throughput of the warm endpoints of its machine
+An endpoint that is warming up fails if all gateways together send it more work within the overload window
+than its overload budget plus a margin. Gateways share no state, so each of them keeps a token bucket
+(`WarmUpBucket`) for each such endpoint. When a request is assigned to the endpoint, its cost is taken out of
+the bucket, whatever the outcome of the request.
+
+Quantities:
+
+- N: the overload budget of an endpoint within T, in requests of mean work. It is M times the work that the
+  endpoint can do within T at its present capacity. No variable holds N: `full_credit` and `full_refill` are
+  multiples of N. The margin above N is two requests, plus 2 * sqrt(N) for random variation.
+- T: the overload window, `overload_window_us`.
+- M: the overload factor, `overload_factor`.
+- R: the refill ratio, `_refill_ratio`.
+- A: the credit ratio, `_credit_ratio`.
+- C: the connect timeout, `connect_timeout_us`.
+- S: the longest time whose refill a bucket can hold, `_max_burst_us`.
+- F: the time constant of the decay of credit, `_credit_decay_us`.
+
+The bucket gets tokens from two sources:
+
+1. Refill. Per overload window, the bucket gets R times the gateway's share of N. To compute that share,
+   the throughput of an endpoint is estimated from the throughput of the warm endpoints of its machine
    type. Each gateway divides the work that the warm endpoints did for it by their number. Summed over all
    gateways, this is the throughput of the mean warm endpoint, however the work was distributed among the warm
    ones. It is multiplied by the endpoint's relative demand: the work that would be intended for it if all
    endpoints were warm, relative to the others of its machine type. The relative demand has a mean of 1 over
    the endpoints of a type, whichever zones the warm ones are in. With subsets, only the gateways whose subset
    contains an endpoint refill its bucket, and each of them counts as many times as there are slices.
-2. Credit. The ratio A of the cost of each response is returned to the bucket. Credit follows the real
-   capacity of the endpoint, which the estimate cannot know: the endpoint may be warmer than the minimum that
-   the settings guarantee.
-
-The work that arrives from all gateways within T has an upper bound for each source:
-
-- Refill: R * N * (T + C + S) / T. A request counts when its last byte arrives. An endpoint that has just
-  started has no open connections, so requests assigned within T plus the connect timeout C may all arrive
-  within T. In addition, a bucket can hold the refill of the time S.
-- Credit: A * N / M * (T + F) / T. The endpoint answers N / M within T. Earlier credit decays with the time
-  constant F, and it is spent on connections that are already open.
-
-A is 1, or less if the credit would otherwise exceed the fraction `MAX_CREDIT_FRACTION` of N. R is chosen such
-that both bounds add up to N. The margin of an endpoint is two requests, plus 2 * sqrt(N) for random
-variation. All gateways together therefore send one request per overload window (or per averaging time
-constant, if that is longer) even where no throughput is known yet, and to endpoints outside their subsets.
+2. Credit. A times the cost of each response is returned to the bucket. Credit follows the real capacity of
+   the endpoint. The refill is based on the minimum capacity that the settings guarantee; the real capacity may
+   be higher.
+
+The work that arrives at an endpoint from all gateways within T has an upper bound for each source:
+
+- Work from refill <= R * N * (T + C + S) / T. A request counts when its last byte arrives. An endpoint that
+  has just started has no open connections, so requests assigned within T + C may all arrive within T. In
+  addition, a bucket can hold the refill of the time S.
+- Work from credit <= A * N / M * (T + F) / T. The endpoint answers N / M within T. Earlier credit decays with
+  the time constant F and therefore adds at most the credit of the time F. Credit is spent on connections that
+  are already open, so C is not part of this bound.
+
+A and R are chosen such that the sum of both bounds is N. A is 1, or less if the bound for credit would
+otherwise exceed the fraction `MAX_CREDIT_FRACTION` of N. R is then chosen for the rest of N.
+
+Because of the margin, each bucket can have a minimum refill rate, which is added to the rate above. At the
+minimum rate, all gateways together send an endpoint one request per overload window, or per averaging time
+constant `RATE_TIME_CONSTANT_US` if that is longer. The minimum rate applies even while no throughput is known
+yet, and at gateways whose subsets do not contain the endpoint.
 """
 
 from __future__ import annotations
@@ -142,9 +160,9 @@
             tracked: A ready endpoint.
 
         Returns:
-            A multiple of the mean work per unit of capacity of the machine type, times the number of slices,
-            since only one gateway in that many has the endpoint in its subset. The mean over the capacity of
-            a machine type is therefore the number of slices.
+            A multiple of the mean work per unit of capacity of the machine type, times the number of slices.
+            With n slices, only one gateway in n has the endpoint in its subset, so each of these gateways
+            counts n times. The mean over the capacity of a machine type is therefore the number of slices.
         """
         return self._relative_demand[tracked]
 
@@ -202,7 +220,7 @@
         Args:
             tracked: The endpoint that responded.
             reserved_cost_us: The result of `reserve` for the request.
-            cost_us: The cost of the request in microseconds of work, as it is estimated now.
+            cost_us: The cost of the request in microseconds of work, by the current estimate.
             now_us: The current time in microseconds.
         """
         if reserved_cost_us > 0:
--- a/http_gateway/policy/throughput_estimate.py
+++ b/http_gateway/policy/throughput_estimate.py
@@ -12,8 +12,8 @@
 # Averaging time constant while at least one endpoint of the machine type is warm.
 RATE_TIME_CONSTANT_US = 2 * US_PER_S
 # Averaging time constant once no endpoint of the machine type is warm. When the warm endpoints are removed
-# one by one, the last of them serve only a few gateways, so the most recent throughput that those gateways
-# observe is far from the mean.
+# one by one, the last of them serve only a few gateways. The throughput that a gateway observes at that time
+# is far from the mean over all gateways. The longer average gives it less weight.
 LONG_RATE_TIME_CONSTANT_US = 10 * US_PER_S
 
 
--- a/http_gateway/policy/token_bucket.py
+++ b/http_gateway/policy/token_bucket.py
@@ -10,8 +10,8 @@
 class WarmUpBucket:
     """A token bucket with two sources of tokens: a refill rate, and credit for responses.
 
-    One token stands for one microsecond of work. Both kinds of tokens pay for requests, but only credit
-    decays over time, and only refilled tokens are capped.
+    One token stands for one microsecond of work. Tokens of both kinds are spent on requests. Refilled
+    tokens are capped and do not decay. Credit decays over time and has no cap.
     """
 
     refilled_at_us: int
