--- a/http_gateway/policy/actions.py
+++ b/http_gateway/policy/actions.py
@@ -33,7 +33,7 @@
     """Reject a request as its final answer; the client can retry it safely."""
 
     request_id: RequestId
-    retry_after_us: int = 0  # delay that the client should wait before a retry; 0: not stated
+    retry_after_us: int = 0  # delay before the client should retry; 0: no delay is suggested
 
 
 class FailRequest(NamedTuple):
@@ -56,7 +56,7 @@
 
 
 class WatchEndpointList(NamedTuple):
-    """Ask discovery to send all further changes of the endpoint list."""
+    """Subscribe to all further changes of the endpoint list at discovery."""
 
 
 Action = StartAttempt | CancelAttempt | ShedRequest | FailRequest | CheckHealth | SetTimer | WatchEndpointList
--- a/http_gateway/policy/balancer.py
+++ b/http_gateway/policy/balancer.py
@@ -38,7 +38,7 @@
 from http_gateway.policy.time_units import US_PER_S
 from http_gateway.policy.tracked_endpoint import TrackedEndpoint
 
-# A response within this fraction of its latency objective is in time: the endpoint has spare capacity.
+# A response within this fraction of its latency objective counts as in time and indicates spare capacity.
 IN_TIME_FRACTION = 0.5
 # Mean delay after which the client of a shed request should retry, as a fraction of the latency objective.
 RETRY_AFTER_FRACTION = 0.25
@@ -117,7 +117,11 @@
         return self._continue_request(pending, now_us)
 
     def _find_class(self, request: RequestArrived) -> RequestClass:
-        """Return the class of a request; a class that the settings lack is treated as at most once."""
+        """Return the class of a request.
+
+        A class that is missing from the settings is treated as one whose requests must be executed at most
+        once.
+        """
         known = self._classes.get(request.class_name)
         if known is not None:
             return known
@@ -183,9 +187,11 @@
         return min(delay_us, self._settings.max_retry_after_us)
 
     def _complete(self, pending: PendingRequest) -> list[Action]:
-        """Note that a request needs no answer any more, and cancel its attempts in flight if allowed.
+        """Mark a request as answered or abandoned, and cancel its attempts in flight.
 
-        The request is removed once all of its attempts have ended.
+        Attempts are cancelled only on the first call for a request, and only if the settings allow
+        cancellation. An attempt whose response is being streamed to the client is not cancelled. The request
+        is removed once all of its attempts have ended.
         """
         is_first_completion = pending.mark_answered()
         in_flight = pending.attempts_in_flight
@@ -280,10 +286,11 @@
         self._slow_start.record_response(tracked, attempt.reserved_cost_us, cost_us, now_us)
 
     def _record_load_signal(self, pending: PendingRequest, attempt: Attempt, now_us: int) -> None:
-        """Tell load shedding whether an attempt was in time.
+        """Report to the load shedder whether an attempt ended in time.
 
-        An attempt that was cancelled before it was late, for example because its client disconnected, says
-        nothing about load and is not counted.
+        A cancelled attempt is reported only if it was already late. If it was cancelled earlier, for example
+        because the client disconnected, it does not show whether the endpoint is overloaded. Failures other
+        than timeouts are not reported either.
         """
         is_late = now_us - attempt.started_at_us > _in_time_limit_us(pending.request_class)
         if attempt.outcome is Outcome.OK:
--- a/http_gateway/policy/pending_request.py
+++ b/http_gateway/policy/pending_request.py
@@ -39,13 +39,14 @@
         self.outcome = outcome
 
     def mark_result_recorded(self) -> None:
-        """Note that the success or failure of the attempt has been recorded for its endpoint."""
+        """Mark the success or failure of the attempt as recorded for its endpoint."""
         self.is_result_recorded = True
 
     def mark_streaming(self) -> None:
-        """Note that the response is being streamed to the client.
+        """Mark the response of the attempt as being streamed to the client.
 
-        The start of the stream counts as the success of the attempt, so its result has been recorded.
+        The start of the stream counts as the success of the attempt, so the attempt is also marked as
+        recorded.
         """
         self.is_result_recorded = self.is_streaming = True
 
@@ -60,7 +61,7 @@
     deadline_us: int
     fallback_id: EndpointId | None = None  # the other endpoint of the latest load comparison
     attempts: list[Attempt] = field(default_factory=list)
-    is_answered: bool = False  # no final answer is needed any more
+    is_answered: bool = False  # the request was answered or abandoned
 
     def add_attempt(self, attempt: Attempt) -> None:
         """Add an attempt that starts; its number is its index in `attempts`."""
@@ -71,7 +72,7 @@
         self.fallback_id = endpoint_id
 
     def mark_answered(self) -> bool:
-        """Note that no final answer is needed any more.
+        """Mark the request as answered or abandoned, so that it needs no further answer.
 
         Returns:
             Whether this is the first call for the request.
--- a/http_gateway/policy/tracked_endpoint.py
+++ b/http_gateway/policy/tracked_endpoint.py
@@ -19,7 +19,7 @@
 
 @dataclass(slots=True, eq=False)
 class TrackedEndpoint:
-    """One endpoint between two of its starts; a restarted endpoint is tracked anew."""
+    """The state of one endpoint since its latest start; a restarted endpoint gets a new instance."""
 
     endpoint: Endpoint
     random: Random
@@ -40,7 +40,8 @@
             random: The source of jitter for the circuit breakers.
             bucket: The token bucket that limits requests during the warm-up.
             gateway_count: The number of gateways that send to the endpoint. Each of them observes only a
-                part of the endpoint's failures, so failures are remembered for longer when there are many.
+                part of the endpoint's failures. The time for which a failure affects the load score is
+                therefore proportional to this number.
 
         Returns:
             The state, without any recorded load or failure.
@@ -79,8 +80,9 @@
     def record_response(self, request_class: RequestClass, attempt: Attempt, now_us: int) -> None:
         """Report a response to the circuit breakers.
 
-        If the attempt was already judged while in flight, for example as too slow, its response is no success
-        for the endpoint's breaker. It still shows the class breaker that the endpoint answers this class.
+        The result of an attempt may have been recorded while it was in flight, for example as a failure
+        because it was slow. Its response is then not recorded as a success at the endpoint's circuit breaker.
+        It is still recorded at the class breaker, because it shows that the endpoint answers this class.
         """
         if not attempt.is_result_recorded:
             self.breaker.record_success(attempt.is_probe)
