--- a/http_gateway/policy/endpoint_selection.py
+++ b/http_gateway/policy/endpoint_selection.py
@@ -88,7 +88,7 @@
     def _shuffled(self, endpoints: list[TrackedEndpoint]) -> Iterator[TrackedEndpoint]:
         """Shuffle a list in place, one element for each step of the iteration.
 
-        A caller that stops early does not pay for shuffling the rest.
+        If the caller stops early, the remaining elements are not shuffled, which saves processor time.
         """
         for index in range(len(endpoints)):
             other = self._random.randrange(index, len(endpoints))
--- a/http_gateway/policy/latency_estimate.py
+++ b/http_gateway/policy/latency_estimate.py
@@ -16,7 +16,7 @@
         self._median_per_cost: dict[str, float] = {}  # by class name
 
     def expected_us(self, pending: PendingRequest) -> float:
-        """Return the estimated median latency of such a request over all endpoints."""
+        """Return the estimated median latency over all endpoints for requests of this class and cost."""
         cost_us = pending.request.cost_us or 1
         request_class = pending.request_class
         initial = request_class.latency_objective_us * INITIAL_OBJECTIVE_FRACTION / cost_us
--- a/http_gateway/policy/load_score.py
+++ b/http_gateway/policy/load_score.py
@@ -7,8 +7,9 @@
 # The weight of a latency ratio falls linearly to 0 within this time after the latest response.
 LATENCY_RATIO_WINDOW_US = US_PER_S // 2
 LATENCY_RATIO_GAIN = 0.2  # weight of the latest response in the moving average of the latency ratio
-# The weight of a failure falls linearly to 0 within this time, multiplied by the number of gateways. Of
-# many gateways each sees only a few of the failures of an endpoint, so it has to remember them for longer.
+# The weight of a failure falls linearly to 0 within this time, multiplied by the number of gateways. If
+# there are many gateways, each one observes only a small part of the failures of an endpoint. Each observed
+# failure therefore has to count for a longer time.
 FAILURE_WINDOW_PER_GATEWAY_US = US_PER_S // 4
 
 
--- a/http_gateway/policy/load_shedding.py
+++ b/http_gateway/policy/load_shedding.py
@@ -9,7 +9,8 @@
 from http_gateway.policy.settings import RequestClass
 from http_gateway.policy.time_units import US_PER_S
 
-# Late responses over this period reduce the admitted fraction to about a third; timely ones restore it fully.
+# If all responses within this period are late, the admitted fraction falls to about a third of its value. If
+# all of them are in time, the admitted fraction rises back to 1.
 SHED_TIME_CONSTANT_US = US_PER_S // 2
 # A load signal is weighted by the time since the previous signal, up to this maximum. It is also the longest
 # time that load shedding lasts without admitting a request.
@@ -26,9 +27,9 @@
 class LoadShedder:
     """Admits a fraction of the offered cost and sheds the requests with the least weight per cost first.
 
-    Overload is detected from the responses that the gateway itself receives. Load signals are weighted by
-    time, not counted. A gateway that receives all the traffic and one of hundreds therefore react equally
-    fast.
+    Overload is detected from the responses that the gateway itself receives. Each load
+    signal is weighted by the time since the previous one. The reaction time therefore does not depend on the
+    number of responses: a single gateway reacts as fast as one of hundreds that share the traffic.
     """
 
     def __init__(self, over_quota_weight: float, random: Random) -> None:
@@ -40,7 +41,8 @@
         self._request_counts: dict[TrafficClass, int] = {}
         self._offered_cost_us: dict[TrafficClass, float] = {}
         self._weights: dict[TrafficClass, float] = {}  # priority weight of one request
-        self._longest_timeout_us: dict[str, int] = {}  # of requests that are no client retries, by class name
+        # The longest timeout of any request that was not a client retry, keyed by the name of its class.
+        self._longest_timeout_us: dict[str, int] = {}
 
     @property
     def admitted_fraction(self) -> float:
@@ -66,7 +68,7 @@
 
     def record_load_signal(self, in_time: bool, now_us: int) -> None:
         """Raise the admitted fraction after a response in time; lower it after a sign of overload."""
-        # No earlier signal exists before the first one, so the first signal covers no time and has no effect.
+        # The first signal has no predecessor, so its weight is 0 and it has no effect.
         previous_at_us = self._last_signal_at_us or now_us
         self._last_signal_at_us = now_us
         step = min(now_us - previous_at_us, MAX_SIGNAL_AGE_US) / SHED_TIME_CONSTANT_US
@@ -78,8 +80,8 @@
     def _sheds_for_overload(self, traffic_class: TrafficClass, now_us: int) -> bool:
         """Return whether to shed a request because of overload.
 
-        A request is always admitted if none has been for `MAX_SIGNAL_AGE_US`, because only responses can
-        show that the overload has ended.
+        If no request has been admitted for `MAX_SIGNAL_AGE_US`, the next one is always admitted. Without
+        admitted requests there are no responses, and only responses can show that the overload has ended.
         """
         overloaded = self._admitted_fraction < 1 and now_us < self._last_admitted_at_us + MAX_SIGNAL_AGE_US
         if overloaded and self._random.random() >= self._admission_probability(traffic_class):
@@ -90,7 +92,8 @@
     def _is_late_retry(self, request: RequestArrived, request_class: RequestClass) -> bool:
         """Return whether a client retry arrives too late to have any weight.
 
-        This is the case after the latency objective, if the class gives late responses no weight.
+        A client retry is too late if the latency objective has passed and the class gives late responses no
+        weight.
         """
         name = request_class.name
         if not request.is_client_retry:
--- a/http_gateway/policy/outlier_detection.py
+++ b/http_gateway/policy/outlier_detection.py
@@ -60,8 +60,8 @@
     ) -> bool:
         """Record an attempt in flight as failed if it is slow; return whether it is.
 
-        The current latency estimate decides. If the estimate has grown since the attempt started, the attempt
-        may not be slow yet, and it is not checked again later.
+        The check uses the current latency estimate. If the estimate has grown since the attempt started, the
+        attempt may not be slow yet. It is not checked again later.
         """
         elapsed_us = now_us - attempt.started_at_us
         if elapsed_us < SLOW_ATTEMPT_FACTOR * self._latency.expected_us(pending):
--- a/http_gateway/policy/retry_policy.py
+++ b/http_gateway/policy/retry_policy.py
@@ -9,7 +9,9 @@
 from http_gateway.policy.retry_budget import RetryBudget
 from http_gateway.policy.settings import DeduplicationScope, Idempotency, Settings
 
-ATTEMPTS_WITHOUT_BUDGET = 2  # the first one and one retry, if it is not hedged
+# Number of attempts of a request that take no token from the retry budget: the first attempt and one retry. A
+# hedged attempt always takes a token.
+ATTEMPTS_WITHOUT_BUDGET = 2
 
 
 def retry_deadline_us(pending: PendingRequest) -> int | None:
@@ -96,8 +98,8 @@
     def allows_attempt(self, pending: PendingRequest, now_us: int) -> bool:
         """Return whether another attempt may start.
 
-        That depends on the client's deadline, the number of attempts, the retry budget, whether hedging is
-        allowed, and idempotency.
+        The result depends on the client's deadline, the number of attempts, the retry budget, whether hedging
+        is allowed, and idempotency.
         """
         attempts = len(pending.attempts)
         if now_us >= pending.deadline_us or attempts >= self._settings.max_attempts:
--- a/http_gateway/policy/settings.py
+++ b/http_gateway/policy/settings.py
@@ -65,7 +65,8 @@
     # The deduplication window starts with the first attempt that was possibly executed.
     deduplication_window_us: int = 0
     priority_weight: float = 1.0
-    late_weight: float = 0.0  # The fraction of the priority weight after the latency objective.
+    # A response after the latency objective counts with this fraction of the priority weight.
+    late_weight: float = 0.0
 
     def __post_init__(self) -> None:
         for name in ("latency_objective_us", "timeout_us"):
@@ -86,7 +87,7 @@
     classes: tuple[RequestClass, ...]
     zone: str = ""
     gateway_count: int = 1  # The number of gateways that send requests to the same endpoints.
-    gateway_index: int = 0  # The index of this gateway among them, from 0.
+    gateway_index: int = 0  # The index of this gateway among all gateways, starting at 0.
     max_attempts: int = 3  # The maximum number of attempts of one request.
     hedging_allowed: bool = False  # A second attempt may start while the first one is in flight.
     cancellation_allowed: bool = False
@@ -94,23 +95,26 @@
     retry_after_allowed: bool = False  # The response to a shed request may have a Retry-After header.
     max_retry_after_us: int = 0
     discovery_is_polled: bool = False  # Discovery sends changes of the endpoint list only on request.
-    # For this long after the notification that an endpoint is draining, attempts there are still tolerated.
+    # The gateway must stop sending attempts to an endpoint within this time after the notification that the
+    # endpoint is draining.
     drain_grace_us: int = 0
     load_reports_in_responses: bool = False
     load_reports_in_health_checks: bool = False
     key_affinity: bool = False  # An endpoint does less work for a key that it has served recently.
-    initial_capacity: float = 1.0  # The least fraction of its full capacity that a new endpoint has.
-    slow_start_window_us: int = 0  # The time after which a started endpoint has its full capacity.
-    # An endpoint that is warming up fails if it is sent more than overload_factor times its current capacity
-    # for as long as overload_window_us.
+    initial_capacity: float = 1.0  # The minimum capacity of a new endpoint, relative to its full capacity.
+    slow_start_window_us: int = 0  # The time from the start of an endpoint to its full capacity.
+    # An endpoint that is warming up fails if the work that it receives within overload_window_us is more than
+    # overload_factor times the work that it can do in that time at its current capacity.
     overload_factor: float = 4.0
     overload_window_us: int = US_PER_S
     connect_timeout_us: int = US_PER_S // 4
     weights_are_capacities: bool = False  # The listed weight of an endpoint is its capacity.
     cross_zone_cost: float = 0.0
     health_check_cost: float = 0.0
-    tenant_quotas_per_s: Mapping[str, float] = field(default_factory=dict)  # Requests/s at this gateway.
-    over_quota_weight: float = 1.0  # The fraction of its priority weight that a request over quota has.
+    # The quota of each tenant at this gateway, in requests per second, keyed by the name of the tenant.
+    tenant_quotas_per_s: Mapping[str, float] = field(default_factory=dict)
+    # A request over the quota of its tenant counts with this fraction of its priority weight.
+    over_quota_weight: float = 1.0
 
     def __post_init__(self) -> None:
         if not self.classes:
--- a/http_gateway/policy/subsetting.py
+++ b/http_gateway/policy/subsetting.py
@@ -11,10 +11,10 @@
 from http_gateway.policy.settings import Settings
 from http_gateway.policy.tracked_endpoint import TrackedEndpoint
 
-# Each endpoint serves at least this many gateways, if there are as many. With fewer than twice this number of
-# gateways, every gateway uses every endpoint.
+# Minimum number of gateways that each endpoint serves, unless there are fewer gateways. With fewer than twice
+# this number of gateways, every gateway uses every endpoint.
 GATEWAYS_PER_ENDPOINT = 20
-MIN_SUBSET_SIZE = 4  # least number of endpoints that a gateway uses, if there are as many
+MIN_SUBSET_SIZE = 4  # minimum number of endpoints that a gateway uses, unless there are fewer endpoints
 
 _DIGEST_BYTES = 8
 _DIGEST_RANGE = 2 ** (8 * _DIGEST_BYTES)
