--- a/http_gateway/policy/slow_start.py
+++ b/http_gateway/policy/slow_start.py
@@ -20,17 +20,17 @@
 
 The bucket gets tokens from two sources:
 
-1. Refill. Per overload window, the bucket gets R times the gateway's share of N. To compute that share,
-   the throughput of an endpoint is estimated from the throughput of the warm endpoints of its machine
-   type. Each gateway divides the work that the warm endpoints did for it by their number. Summed over all
-   gateways, this is the throughput of the mean warm endpoint, however the work was distributed among the warm
-   ones. It is multiplied by the endpoint's relative demand: the work that would be intended for it if all
-   endpoints were warm, relative to the others of its machine type. The relative demand has a mean of 1 over
-   the endpoints of a type, whichever zones the warm ones are in. With subsets, only the gateways whose subset
+1. Refill. Per overload window, the bucket gets R times the gateway's share of N. To compute that share, the
+   throughput of an endpoint is estimated from the throughput of the warm endpoints of its machine type. Each
+   gateway divides the work that the warm endpoints did for it by their number. Summed over all gateways,
+   this is the throughput of the mean warm endpoint, however the work was distributed among the warm ones. It
+   is multiplied by the endpoint's relative demand: the work that would be intended for it if all endpoints
+   were warm, relative to the others of its machine type. The relative demand has a mean of 1 over the
+   endpoints of a type, whichever zones the warm ones are in. With subsets, only the gateways whose subset
    contains an endpoint refill its bucket, and each of them counts as many times as there are slices.
 2. Credit. A times the cost of each response is returned to the bucket. Credit follows the real capacity of
-   the endpoint. The refill is based on the minimum capacity that the settings guarantee; the real capacity may
-   be higher.
+   the endpoint. The refill is based on the minimum capacity that the settings guarantee; the real capacity
+   may be higher.
 
 The work that arrives at an endpoint from all gateways within T has an upper bound for each source:
 
