--- a/http_gateway/net/config_reload.py
+++ b/http_gateway/net/config_reload.py
@@ -48,8 +48,8 @@
         self._discovery.switch_to(loaded.discovery_address)
 
     def _warn_about_ignored_changes(self, loaded: GatewayConfig) -> None:
-        # The seed and the cached list differ in every file and are used at startup only, so that a difference
-        # between them needs no warning.
+        # Each new file has another seed and another cached list. The gateway uses both at startup only, so a
+        # change to them is expected and logs no warning.
         comparable = replace(loaded, seed=self._config.seed, cached_list=self._config.cached_list)
         if comparable != self._config:
             log.warning("reload ignored changes that need a restart")
--- a/http_gateway/net/discovery/client.py
+++ b/http_gateway/net/discovery/client.py
@@ -20,11 +20,11 @@
         address: The address of the discovery service.
         revision: The revision of the current endpoint list, from which the first watch resumes.
         on_list: Callback for each list that the service sends.
-        settings: The settings of the gateway, which say how it uses discovery.
+        settings: The settings of the gateway, with the kind of discovery and the index of this gateway.
 
     Attributes:
-        service_responded: Set once the service has sent a list or rejected a call. After a rejection no list
-            can be expected soon, so that waiting longer for one is useless.
+        service_responded: Set once the service has sent a list or rejected a call. After a rejection,
+            no list is expected soon, so startup stops waiting for one.
     """
 
     def __init__(
--- a/http_gateway/net/discovery/endpoint_list.py
+++ b/http_gateway/net/discovery/endpoint_list.py
@@ -40,9 +40,9 @@
 
 
 def endpoint_id(name: str) -> EndpointId:
-    """Return the id under which the policy knows an endpoint.
+    """Return the id that the policy uses for the endpoint with this name.
 
-    It is a hash of the name, so that it is the same at all gateways and after a restart.
+    The id is a hash of the name, so it is the same in all gateways and after a restart of the gateway.
     """
     return int.from_bytes(blake2b(name.encode(), digest_size=8).digest(), "big")
 
--- a/http_gateway/net/discovery/poll_schedule.py
+++ b/http_gateway/net/discovery/poll_schedule.py
@@ -7,16 +7,19 @@
 from http_gateway.policy.settings import Settings
 from http_gateway.policy.time_units import US_PER_S
 
-# A local discovery agent responds at once or not at all, and the gateway is deemed notified of a change as
-# soon as the agent has it. The delay is short enough for several calls within the drain grace period.
+# A local discovery agent responds at once or not at all. The drain grace period of an endpoint starts when
+# the agent receives the change, even if the gateway has not received it. The delay allows several calls
+# within that period.
 RETRY_DELAY_FRACTION = 0.2  # of the drain grace period
 MIN_RETRY_DELAY_S = 0.02
 MAX_RETRY_DELAY_S = 0.5
 
-# The gateway is deemed notified of a change after 6 s. This interval leaves 1 s of that for the response.
+# With a shared service, the drain grace period of an endpoint starts 6 s after the endpoint begins to drain,
+# even if the gateway has not received this change. Calls every 5 s leave 1 s for the response.
 POLL_INTERVAL_S = 5.0
 MAX_BACKOFF_INTERVALS = 16
-# A service that rejects a call within this time is overloaded; a later rejection is a sign of an outage.
+# A rejection within this time means that the service is overloaded, and increases the backoff. A later
+# rejection is a sign of an outage, and does not increase the backoff.
 PROMPT_REJECTION_S = 0.5
 
 
@@ -47,7 +50,7 @@
 
     @property
     def is_shared(self) -> bool:
-        """Whether all gateways share the service: the settings say so, or it has rejected a call."""
+        """Whether the service is treated as shared, because it is polled or has rejected a call."""
         return self._is_shared
 
     @property
--- a/http_gateway/net/discovery/session.py
+++ b/http_gateway/net/discovery/session.py
@@ -57,14 +57,14 @@
 
     async def run(self) -> None:
         """Open a watch, and another one whenever it ends, until the task is cancelled."""
-        # Gateways that start together or switch together would otherwise all call the service at once.
+        # Without this wait, gateways that start or switch together would all call the service at once.
         if self._schedule.is_shared:
             await self._wait_for_next_call()
         while True:
             try:
                 watch = await self._open_watch()
                 log.info('discovery watch ended reason="%s"', await watch.ended)
-            except Exception:  # if the loop ended here, draining endpoints would go unnoticed
+            except Exception:  # otherwise this task would end and no further lists would arrive
                 log.exception("discovery watch failed")
             finally:
                 self._end_active_watch()
--- a/http_gateway/net/discovery/watch.py
+++ b/http_gateway/net/discovery/watch.py
@@ -11,9 +11,10 @@
 from http_gateway.net.address import Address
 from http_gateway.net.discovery.json_stream import JsonStreamSplitter
 
-# The service sends an empty line every 2 s on an open watch. The gateway is deemed notified of a change after
-# 6 s, even if it has missed the change on a silent watch. A silent watch is therefore closed early enough to
-# open another one within that time.
+# The service sends an empty line every 2 s on an open watch, so a longer silence means that the watch has
+# failed. The drain grace period of an endpoint starts at most 6 s after the endpoint begins to drain, even
+# if the gateway has not received this change. Closing a silent watch after 2.5 s leaves enough of that time
+# to open another one.
 WATCH_IDLE_TIMEOUT_S = 2.5
 # An unanswered call, including the time to connect, ends before the next poll slot of the gateway.
 RESPONSE_TIMEOUT_S = 4.0
@@ -140,7 +141,7 @@
     def _restart_timeout(self, timeout_s: float) -> None:
         """Schedule the end of the watch after a timeout, and cancel the previous timeout.
 
-        TCP alone does not notice that the peer has become unreachable.
+        TCP alone does not detect that an idle peer has become unreachable.
         """
         if self._timeout is not None:
             self._timeout.cancel()
