--- a/http_gateway/net/frontend/client_connection.py
+++ b/http_gateway/net/frontend/client_connection.py
@@ -62,8 +62,8 @@
         self._is_over_limit = False
         self._is_writing_paused = False
         self._closes_after_response = False
-        # Number, counted from 1, of the latest request whose receive timeout does not need to be started any
-        # more. The receive timeout of the first request is started when the connection is made.
+        # Requests on the connection are numbered from 1. Received bytes start a receive timeout only for a
+        # request with a higher number than this. The timeout of request 1 starts when the connection is made.
         self._timed_request_number = 1
 
     @property
--- a/http_gateway/net/frontend/connection_limits.py
+++ b/http_gateway/net/frontend/connection_limits.py
@@ -11,7 +11,8 @@
 MAX_BUFFERED_BYTES = 4 * 1024 * 1024
 # Time allowed to receive a complete request, counted from the start of the connection or of the request.
 RECEIVE_TIMEOUT_S = 2.0
-# Time that a connection is kept open after a response. Some clients send one request and never close.
+# Time that a connection is kept open after a response. Some clients send one request and never close the
+# connection.
 IDLE_TIMEOUT_S = 2.5
 # Time that a connection stays open after its request was rejected, while the client may still be sending, or
 # after the client has disconnected, while responses may still be unsent.
@@ -101,7 +102,7 @@
             connection: The new connection.
 
         Returns:
-            Whether the connection was added. It is not if the limit is reached and no connection can be
+            Whether the connection was added. It is rejected if the limit is reached and no connection can be
             evicted, because each has a request in flight.
         """
         if len(self._connections) >= self._max_connections:
@@ -130,7 +131,7 @@
         """Start the timeout within which the client must close the connection.
 
         Args:
-            connection: The connection, on which no further request is read.
+            connection: The connection; the gateway handles no further requests that arrive on it.
             evict_first: Whether the connection moves to the front of the eviction order.
         """
         self._start_timeout(connection, LINGER_TIMEOUT_S)
--- a/http_gateway/net/frontend/in_flight_request.py
+++ b/http_gateway/net/frontend/in_flight_request.py
@@ -90,7 +90,7 @@
         self._registry.reserve(client_request_id)
         self._client_request_id = client_request_id
         request_id = self._dispatcher.submit(client_request, respond, has_client_disconnected)
-        if self._is_active:  # `respond` was not called yet
+        if self._is_active:  # the dispatcher has not called `respond`, so the client still waits
             self._request_id = request_id
 
     def complete(self) -> None:
--- a/http_gateway/net/frontend/request_queue.py
+++ b/http_gateway/net/frontend/request_queue.py
@@ -24,7 +24,7 @@
         self._buffer_limit = buffer_limit
         self._reader = RequestReader()
         self._queue: deque[Message] = deque()
-        self._counted_bytes = 0  # bytes of this connection that `buffer_limit` includes
+        self._counted_bytes = 0  # number of bytes that this connection has added to `buffer_limit`
 
     def __len__(self) -> int:
         """Return the number of complete requests that are queued."""
--- a/http_gateway/service.py
+++ b/http_gateway/service.py
@@ -104,8 +104,8 @@
     async def _wait_for_first_list(self) -> None:
         """Wait until discovery responds, stop is requested or the timeout expires.
 
-        Only a local agent that pushes lists is waited for, as it responds at once. A polled service may take
-        several seconds, so the gateway starts with the cached list instead.
+        The gateway waits only for a local agent that pushes lists, because the agent responds at once. A
+        polled service may take several seconds, so the gateway starts with the cached list instead.
         """
         if self._config.settings.discovery_is_polled:
             return
@@ -138,7 +138,7 @@
         """Wait until all client connections are closed, or until the deadline.
 
         A connection closes after its response; the deadline limits the wait for clients that do not read
-        theirs.
+        their responses.
         """
         try:
             async with asyncio.timeout_at(deadline_at_s):
@@ -197,8 +197,8 @@
 def main() -> int:
     """Run the gateway that the environment variables configure, and return the exit code."""
     _set_up_logging()
-    # SIGHUP ends a process without a handler. Until the event loop handles it, each signal is recorded here
-    # for a later reload.
+    # Without a handler, SIGHUP would end the process. Until the event loop handles SIGHUP, this handler
+    # records each signal. The gateway then reloads the configuration if any signal was recorded.
     early_sighups: list[int] = []
     signal.signal(signal.SIGHUP, lambda signal_number, _: early_sighups.append(signal_number))
     try:
