--- a/http_gateway/net/client_request.py
+++ b/http_gateway/net/client_request.py
@@ -28,13 +28,13 @@
     """A client's request: the message to forward, and the properties that the policy uses.
 
     Attributes:
-        message: the HTTP request to forward to an endpoint.
-        class_name: name of the request class.
-        timeout_us: time in microseconds within which the client expects the response.
-        cost_us: expected processing cost in microseconds; 0 if the client gave none.
-        key: routing key, if the client gave one.
-        is_client_retry: whether the client marked the request as a retry.
-        tenant: tenant that the request belongs to; empty if the client gave none.
+        message: The HTTP request to forward to an endpoint.
+        class_name: Name of the request class.
+        timeout_us: Time in microseconds within which the client expects the response.
+        cost_us: Expected processing cost in microseconds; 0 if the client gave none.
+        key: Routing key, if the client gave one.
+        is_client_retry: Whether the client marked the request as a retry.
+        tenant: Tenant that the request belongs to; empty if the client gave none.
     """
 
     message: Message
--- a/http_gateway/net/dispatched_request.py
+++ b/http_gateway/net/dispatched_request.py
@@ -38,10 +38,10 @@
     """A request that has no final response yet or still has attempts in flight.
 
     Args:
-        client_request: the request as the client sent it.
-        respond: sends the final response to the client.
-        has_client_disconnected: whether the client has disconnected.
-        deadline_at_us: time on the gateway's clock, in microseconds, by which the response is due.
+        client_request: The request as the client sent it.
+        respond: Sends the final response to the client.
+        has_client_disconnected: Returns whether the client has disconnected.
+        deadline_at_us: Time on the gateway's clock, in microseconds, by which the response is due.
     """
 
     def __init__(
@@ -65,7 +65,7 @@
 
     @property
     def is_finished(self) -> bool:
-        """Whether no response is needed any more and all attempts have ended."""
+        """Whether the request needs no response and all its attempts have ended."""
         return not self.needs_response and all(attempt.has_ended for attempt in self.attempts)
 
     def has_client_disconnected(self) -> bool:
@@ -102,7 +102,8 @@
             if attempt.upstream_attempt is not None:
                 attempt.upstream_attempt.tighten_last_byte_deadline(deadline_s)
 
-    # Stopping an attempt may append a retry to `attempts`; the loops below then visit the retry as well.
+    # Stopping an attempt may append a retry to `attempts`. The loops of the following methods then process
+    # the retry as well.
 
     def cancel_attempts(self) -> None:
         """Cancel every attempt in flight."""
--- a/http_gateway/net/request_dispatcher.py
+++ b/http_gateway/net/request_dispatcher.py
@@ -54,8 +54,8 @@
     """Answers every submitted request exactly once, as the policy decides.
 
     Args:
-        balancer: the policy.
-        pool: opens connections to endpoints and sends the attempts on them.
+        balancer: The policy.
+        pool: Opens connections to endpoints and sends the attempts on them.
     """
 
     def __init__(self, balancer: Balancer, pool: UpstreamPool) -> None:
@@ -96,8 +96,8 @@
         and the policy must not retry them at another endpoint that drains in the same list.
 
         Args:
-            endpoint_list: a complete list or the changes since the last one.
-            is_cached: whether the list was read from the cache; the pool treats it as complete.
+            endpoint_list: A complete list or the changes since the last one.
+            is_cached: Whether the list was read from the cache; the pool treats it as complete.
         """
         self._has_endpoint_list = self._has_endpoint_list or bool(endpoint_list.entries)
         endpoints = tuple(entry.endpoint for entry in endpoint_list.entries)
@@ -113,10 +113,10 @@
         """Submit a client's request to the policy.
 
         Args:
-            client_request: the request and its timeout.
-            respond: called exactly once with the final response, unless the request is abandoned.
-            has_client_disconnected: whether the client has disconnected, even if the event loop has not
-                handled the disconnect yet.
+            client_request: The request and its timeout.
+            respond: Called exactly once with the final response, unless the request is abandoned.
+            has_client_disconnected: Returns whether the client has disconnected, even if the event loop has
+                not handled the disconnect yet.
 
         Returns:
             The id of the request.
@@ -142,8 +142,8 @@
     def _dispatch_event(self, event: Event) -> None:
         """Queue an event and handle all queued events in order.
 
-        Executing an action may cause another event. It is queued, so that the policy finishes the current
-        event first.
+        Executing an action may cause another event. That event is queued, and the policy handles it after the
+        current one.
         """
         self._events.append(event)
         if self._is_handling_events:
@@ -264,7 +264,7 @@
             request.respond(response)
 
     def _release_if_answered(self, request_id: RequestId) -> None:
-        """Cancel the unwritten attempts of a request that needs no response any more.
+        """Cancel the unwritten attempts of a request that no longer needs a response.
 
         The request is removed once all its attempts have ended.
         """
@@ -285,7 +285,7 @@
     def _on_deadline(self, request_id: RequestId) -> None:
         """Time out all attempts of a request that has reached its deadline.
 
-        The ends of the attempts normally make the policy answer the request; otherwise it gets a 504.
+        The policy normally answers the request when its attempts end. If it does not, the response is a 504.
         """
         request = self._requests.get(request_id)
         if request is None:
--- a/http_gateway/net/upstream/attempt.py
+++ b/http_gateway/net/upstream/attempt.py
@@ -37,10 +37,10 @@
     `stop` cancels the task, and the timer is cancelled whenever the attempt ends.
 
     Args:
-        request: the client's request.
-        expires_at_s: loop time at which the client stops waiting.
-        on_end: called exactly once with the outcome.
-        is_client_waiting: whether the client still waits for the response.
+        request: The client's request.
+        expires_at_s: Loop time at which the client stops waiting.
+        on_end: Called exactly once with the outcome.
+        is_client_waiting: Returns whether the client still waits for the response.
     """
 
     def __init__(
@@ -116,8 +116,8 @@
         If the attempt has no connection when the task is done, it ends with `CONNECT_FAILED`.
 
         Args:
-            connecting: the coroutine that opens the connection.
-            on_done: called when the task is done, even if it was cancelled before its first step.
+            connecting: The coroutine that opens the connection.
+            on_done: Called when the task is done, even if it was cancelled before its first step.
         """
         self._connect_task = self._loop.create_task(connecting)
         self._connect_task.add_done_callback(lambda _: self._connect_done(on_done))
--- a/http_gateway/net/upstream/connection.py
+++ b/http_gateway/net/upstream/connection.py
@@ -70,7 +70,7 @@
         self._idle_timer: asyncio.TimerHandle | None = None
         self._idle_since_at_s = 0.0
         self._is_request_written = False
-        self._is_write_blocked = False  # the kernel has not accepted all written bytes
+        self._is_write_blocked = False  # whether the kernel has not accepted all written bytes
         self._deferred_byte = b""  # last byte of the request, empty once it is written
         self._last_response_was_rejection = False
 
@@ -129,8 +129,8 @@
     def drop(self) -> None:
         """Close the connection immediately, without notifying the attempt on it."""
         if self._attempt is not None and self._transport is not None:
-            # The transport closes the socket only in the next iteration of the event loop. The shutdown makes
-            # the endpoint see the end of this attempt before a retry is written.
+            # The transport closes the socket only in the next iteration of the event loop. The shutdown sends
+            # the endpoint an EOF for this attempt before a retry is written.
             with contextlib.suppress(OSError):
                 self._transport.get_extra_info("socket").shutdown(socket.SHUT_WR)
         self._attempt = None
@@ -148,7 +148,7 @@
         self._owner.connection_opened()
 
     def pause_writing(self) -> None:
-        """Note that the kernel has not accepted all written bytes."""
+        """Mark the request as not fully written, because the kernel has not accepted all bytes."""
         self._is_write_blocked = True
         self._is_request_written = False
 
@@ -160,7 +160,7 @@
 
     def on_data(self, data: memoryview) -> None:
         """Parse the response to the current request; close the connection if there is no request."""
-        if self._attempt is None:  # the bytes would be mistaken for the next response
+        if self._attempt is None:  # these bytes would be taken for the response to the next request
             self.drop()
             return
         responses = self._reader.feed(data)
--- a/http_gateway/net/upstream/endpoint_connections.py
+++ b/http_gateway/net/upstream/endpoint_connections.py
@@ -24,9 +24,9 @@
     """The connections to one endpoint, used until the endpoint drains, restarts or is removed.
 
     Args:
-        entry: the endpoint as the endpoint list describes it.
-        timeouts: timeouts of the connections.
-        descriptors: counts the connections to all endpoints.
+        entry: The endpoint as the endpoint list describes it.
+        timeouts: Timeouts of the connections.
+        descriptors: Counts the connections to all endpoints.
     """
 
     def __init__(
@@ -96,7 +96,7 @@
         although the endpoint executes it. Such an attempt uses a new connection instead.
 
         Returns:
-            None if no idle connection can be used.
+            The connection, or None if no idle connection can be used.
         """
         after_rejection = None
         now_s = asyncio.get_running_loop().time()
@@ -144,7 +144,9 @@
         self._connecting.discard(attempt)
         if attempt.has_ended:
             connection.drop()
-        elif connection.is_open:  # a connection that is already reset would not end the attempt
+        elif connection.is_open:
+            # An attempt sent on a connection that is already closed might never end. An attempt without a
+            # connection ends with CONNECT_FAILED when this task is done.
             connection.send(attempt)
 
     def _connect_done(self, attempt: UpstreamAttempt) -> None:
--- a/http_gateway/net/upstream/pool.py
+++ b/http_gateway/net/upstream/pool.py
@@ -25,9 +25,9 @@
     """The connections to all endpoints that may receive requests.
 
     Args:
-        connect_timeout_s: seconds within which a connection has to be established.
-        idle_timeout_s: seconds for which an endpoint keeps an idle connection open.
-        max_connections: maximum number of connections to all endpoints together.
+        connect_timeout_s: Seconds within which a connection has to be established.
+        idle_timeout_s: Seconds for which an endpoint keeps an idle connection open.
+        max_connections: Maximum number of connections to all endpoints together.
     """
 
     def __init__(self, connect_timeout_s: float, idle_timeout_s: float, max_connections: int) -> None:
@@ -55,7 +55,7 @@
         """Return the idle connections to an endpoint, ordered by last use, the most recent last.
 
         Raises:
-            KeyError: if the endpoint is not in use.
+            KeyError: The endpoint is not in use.
         """
         return self._endpoints[endpoint_id].idle
 
@@ -66,8 +66,8 @@
         endpoint gets new attempts on new connections only.
 
         Args:
-            entries: the listed endpoints.
-            is_complete: whether endpoints that are not listed are removed.
+            entries: The listed endpoints.
+            is_complete: Whether endpoints that are not listed are removed.
         """
         listed = {entry.endpoint.id: entry for entry in entries}
         if is_complete:
@@ -92,13 +92,13 @@
         """Start an attempt, which may end before this method returns.
 
         Args:
-            endpoint_id: the endpoint to send the request to.
-            request: the client's request.
-            expires_at_s: loop time at which the client stops waiting; sent to the endpoint as the remaining
+            endpoint_id: The endpoint to send the request to.
+            request: The client's request.
+            expires_at_s: Loop time at which the client stops waiting; sent to the endpoint as the remaining
                 time in the header `x-deadline`.
-            on_end: called exactly once with the outcome, unless None is returned.
-            is_client_waiting: whether the client still waits; called right before bytes are written.
-            last_byte_deadline_s: loop time before which the last byte of the request has to be written.
+            on_end: Called exactly once with the outcome, unless None is returned.
+            is_client_waiting: Returns whether the client still waits; called right before bytes are written.
+            last_byte_deadline_s: Loop time before which the last byte of the request has to be written.
 
         Returns:
             The attempt, or None if the endpoint is not in use or the connection limit is reached.
