--- a/tests/integration/test_request_dispatcher.py
+++ b/tests/integration/test_request_dispatcher.py
@@ -184,7 +184,7 @@
 
 @async_test
 async def test_endpoint_in_slow_start_gets_a_small_share() -> None:
-    """The policy gets the start time of each endpoint on the gateway's clock."""
+    """The policy receives the start time of each endpoint on the gateway's clock."""
     settings = Settings((READ, BUY), max_attempts=5, initial_capacity=0.13, slow_start_window_us=24_000_000)
     async with start_peers(respond_with(), respond_with()) as (started, warm):
         now_us = time.time_ns() // 1000
@@ -260,7 +260,7 @@
 
 @async_test
 async def test_slower_one_of_two_hedged_attempts_is_cancelled() -> None:
-    """It is cancelled when the other attempt gets its response, and the client gets one response."""
+    """The slower attempt is cancelled once the other has a response; the client receives one response."""
     async with (
         start_peers(respond_with(), respond_with()) as endpoints,
         running_gateway(*(endpoint.endpoint_entry() for endpoint in endpoints), settings=SETTINGS) as gateway,
--- a/tests/integration/test_retry_deadlines.py
+++ b/tests/integration/test_retry_deadlines.py
@@ -95,7 +95,7 @@
 
 @async_test
 async def test_rejected_request_is_retried_however_late_the_rejection() -> None:
-    """The window starts with the first attempt that may have been executed, and a rejected one was not."""
+    """A rejected attempt was not executed, so it does not start the deduplication window."""
 
     async def reject_late(request: Message, writer: asyncio.StreamWriter) -> None:
         await asyncio.sleep(2 * DEDUPLICATION_WINDOW_S)
--- a/tests/integration/test_upstream_endpoints.py
+++ b/tests/integration/test_upstream_endpoints.py
@@ -99,7 +99,7 @@
 
 @async_test
 async def test_attempt_beyond_the_connection_limit_does_not_end_a_second_time() -> None:
-    """The deadline for its last byte passes after the pool has refused to start it."""
+    """The last-byte deadline of the attempt passes after the pool has refused to start the attempt."""
     async with start_peers(respond_with()) as (endpoint,):
         driver = AttemptDriver(endpoint.port, max_connections=0)
         last_byte_deadline_s = asyncio.get_running_loop().time() + 0.05
--- a/tests/integration/test_upstream_reuse.py
+++ b/tests/integration/test_upstream_reuse.py
@@ -185,7 +185,7 @@
 async def test_second_copy_of_a_rejection_is_not_matched_to_another_request(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The copy would cause a retry of a request that the endpoint executes, so that it is executed twice."""
+    """The copy would make the gateway retry a request that the endpoint executes, which executes it twice."""
     monkeypatch.setattr(connection, "REUSE_DELAY_S", 0.0)
 
     async def script(request: Message, writer: asyncio.StreamWriter) -> None:
--- a/tests/support/fleet/plan.py
+++ b/tests/support/fleet/plan.py
@@ -20,11 +20,11 @@
 
     gateway_count: int
     endpoints: tuple[Endpoint, ...]
-    settings: Settings  # of every gateway; the fleet sets gateway count, index, zone and classes
+    settings: Settings  # for all gateways; the fleet replaces the gateway count, index, zone and classes
     capacity_per_s: float = 20.0  # the work per second that a warm endpoint of weight 1 does
     offered_load: float = 0.6  # as a fraction of the total capacity of all endpoints
     traffic_shares: tuple[float, ...] = ()  # the relative traffic of each gateway; empty for equal shares
-    max_list_delay_us: int = 0  # the maximum delay until a gateway is notified of a changed endpoint list
+    max_list_delay_us: int = 0  # the maximum delay until a gateway receives a changed endpoint list
     latency_objective_us: int = US_PER_S
     timeout_us: int = 2 * US_PER_S  # from the arrival of a request to its deadline
     # If False, endpoints in slow start respond as fast as warm ones, and their responses add no credit to the
--- a/tests/support/upstream.py
+++ b/tests/support/upstream.py
@@ -44,10 +44,10 @@
     """Starts attempts at one endpoint without a dispatcher, and records their outcomes.
 
     Args:
-        port: port of the endpoint on 127.0.0.1.
-        idle_timeout_s: seconds for which the endpoint keeps an idle connection open.
-        max_connections: limit on the connections of the pool.
-        connect_timeout_s: seconds within which a connection has to be established.
+        port: Port of the endpoint on 127.0.0.1.
+        idle_timeout_s: Seconds for which the endpoint keeps an idle connection open.
+        max_connections: Limit on the connections of the pool.
+        connect_timeout_s: Seconds within which a connection has to be established.
     """
 
     def __init__(
--- a/tests/unit/policy/test_slow_start_fleet.py
+++ b/tests/unit/policy/test_slow_start_fleet.py
@@ -81,7 +81,7 @@
 
 @pytest.mark.parametrize("gateway_count", GATEWAY_COUNTS)
 def test_endpoints_warming_up_are_used_at_a_fifth_of_their_capacity(gateway_count: int) -> None:
-    """Slow start must not send far too little: at least a fifth of the capacity is used.
+    """Endpoints in slow start are used at no less than a fifth of their capacity.
 
     Warm endpoints are used at three fifths of their capacity. The minimum of one request per overload window
     would use only a twentieth.
@@ -118,7 +118,7 @@
 ) -> None:
     """Three gateways in ten get all of the traffic, because the others have failed.
 
-    The settings of the remaining gateways still count all of them.
+    The gateway count in the settings of the remaining gateways still includes the failed ones.
     """
     shares = tuple(1.0 if index % 10 < 3 else 1e-6 for index in range(gateway_count))
     plan = FleetPlan(
@@ -136,7 +136,7 @@
 
 @pytest.mark.parametrize("gateway_count", GATEWAY_COUNTS)
 def test_endpoints_restarted_under_their_ids_are_not_overloaded(gateway_count: int) -> None:
-    """Some endpoints restart twice, before all gateways are notified of the first restart."""
+    """Some endpoints restart again before all gateways have received the list with the first restart."""
     plan = FleetPlan(
         gateway_count,
         UNIFORM_ENDPOINTS,
@@ -158,7 +158,10 @@
 def test_small_endpoints_of_a_machine_type_are_not_overloaded(
     gateway_count: int, weights_are_capacities: bool
 ) -> None:
-    """Endpoints of one machine type may differ in capacity, whether or not the weights tell the gateways."""
+    """Endpoints of one machine type may differ in capacity.
+
+    They must not be overloaded, whether or not the settings let the gateways use the weights as capacities.
+    """
     weights = [0.5, 1.0, 2.0, 4.0] if weights_are_capacities else [0.5, 1.0, 1.0, 1.5]
     plan = FleetPlan(
         gateway_count,
