--- a/http_gateway/net/discovery/poll_schedule.py
+++ b/http_gateway/net/discovery/poll_schedule.py
@@ -9,16 +9,19 @@
 
 # A local discovery agent responds at once or not at all. Every change of the endpoint list (an endpoint
 # starts, drains or is removed) counts as received by the gateway as soon as the agent has it, even if the
-# gateway has not received it. The drain grace period and slow start are measured from that time. The delay
-# between calls allows several calls within the drain grace period.
+# gateway has not received it. From that time on, the gateway is expected to respect the change: the drain
+# grace period of a draining endpoint begins, and requests that the gateway sends to an endpoint that has
+# started count against the slow start limit of that endpoint. The delay between calls allows several calls
+# within the drain grace period.
 RETRY_DELAY_FRACTION = 0.2  # of the drain grace period
 MIN_RETRY_DELAY_S = 0.02
 MAX_RETRY_DELAY_S = 0.5
 
 # With a shared service, every change of the endpoint list (an endpoint starts, drains or is removed) counts
 # as received by the gateway at the latest 6 s after discovery has the change, even if the gateway has not
-# received it. The drain grace period and slow start are measured from that time. Calls every 5 s leave 1 s
-# for the response.
+# received it. From that time on, the gateway is expected to respect the change: the drain grace period of a
+# draining endpoint begins, and requests that the gateway sends to an endpoint that has started count against
+# the slow start limit of that endpoint. Calls every 5 s leave 1 s for the response.
 POLL_INTERVAL_S = 5.0
 MAX_BACKOFF_INTERVALS = 16
 # A rejection within this time means that the service is overloaded, and increases the backoff. A later
--- a/http_gateway/net/discovery/watch.py
+++ b/http_gateway/net/discovery/watch.py
@@ -14,8 +14,10 @@
 # The service sends an empty line every 2 s on an open watch, so a longer silence means that the watch has
 # failed. Every change of the endpoint list (an endpoint starts, drains or is removed) counts as received by
 # the gateway at the latest 6 s after discovery has the change, or 6 s after the watch fell silent, even if
-# the gateway has not received it. The drain grace period and slow start are measured from that time. Closing
-# a silent watch after 2.5 s leaves enough of the 6 s to open another one.
+# the gateway has not received it. From that time on, the gateway is expected to respect the change: the drain
+# grace period of a draining endpoint begins, and requests that the gateway sends to an endpoint that has
+# started count against the slow start limit of that endpoint. Closing a silent watch after 2.5 s leaves
+# enough of the 6 s to open another one.
 WATCH_IDLE_TIMEOUT_S = 2.5
 # An unanswered call, including the time to connect, ends before the next poll slot of the gateway.
 RESPONSE_TIMEOUT_S = 4.0
