--- a/tests/integration/test_discovery_client.py
+++ b/tests/integration/test_discovery_client.py
@@ -63,7 +63,9 @@
 ) -> None:
     """Guards against a retry delay that grows with the number of gateways.
 
-    With a local agent, the gateway is deemed notified of a change at once. After a longer delay it would send
+    With a local discovery agent, a change of the endpoint list counts as received by the gateway as soon as
+    the agent has it, even if the gateway has not received it. The drain grace period of a draining endpoint
+    begins at that time, also while the gateway waits to reopen its watch. After a longer delay it would send
     requests to draining endpoints beyond the drain grace period.
     """
     delays_s: list[float] = []
@@ -92,7 +94,9 @@
 async def test_unanswered_call_to_a_local_agent_does_not_delay_the_next_call() -> None:
     """The agent may be running again while an earlier call stays unanswered.
 
-    The gateway is then deemed notified of a change as soon as the agent has it.
+    Once the agent is running, a change of the endpoint list counts as received by the gateway as soon as the
+    agent has it, even if the gateway has not received it. From that time on, the gateway is expected to
+    respect the change.
     """
 
     async def script(request: Message, writer: asyncio.StreamWriter) -> None:
--- a/tests/integration/test_service_start.py
+++ b/tests/integration/test_service_start.py
@@ -66,7 +66,9 @@
 async def test_process_starts_to_listen_once_the_local_agent_has_responded(tmp_path: Path) -> None:
     """Guards against requests to endpoints that have been removed since the list was cached.
 
-    With a local agent, the gateway is deemed notified of a change as soon as the agent has it.
+    With a local discovery agent, a change of the endpoint list counts as received by the gateway as soon as
+    the agent has it, even if the gateway has not received it. From that time on, the gateway is expected to
+    respect the change.
     """
     async with start_peers(respond_with(body=b"removed"), respond_with(body=b"listed")) as (removed, listed):
         port = free_port()
--- a/tests/unit/test_poll_schedule.py
+++ b/tests/unit/test_poll_schedule.py
@@ -33,9 +33,10 @@
 def test_gateways_poll_once_per_interval_in_distinct_slots(gateway_count: int, now_s: float) -> None:
     """Guards against simultaneous calls of all gateways, which overload the discovery service.
 
-    A gateway is deemed notified of a change 6 s after discovery becomes reachable. A service that all
-    gateways call at once answers none of them in time. On the test bench it took 3 to 8 s, with 60 gateways
-    as with 200.
+    When discovery becomes reachable after an outage, a change of the endpoint list counts as received by each
+    gateway 6 s later, even if the gateway has not received it. From that time on, the gateway is expected to
+    respect the change. A service that all gateways call at once answers none of them in time. On the test
+    bench it took 3 to 8 s, with 60 gateways as with 200.
     """
     times_s = sorted(poll_times_s(gateway_count, now_s))
     assert times_s[-1] < now_s + POLL_INTERVAL_S <= now_s + 5
